--- a/src/quetzaldyke/gateway/attempt.py
+++ b/src/quetzaldyke/gateway/attempt.py
@@ -5,8 +5,6 @@
 from dataclasses import dataclass
 from typing import Final
 
-from quetzaldyke.gateway.answers import answer
-from quetzaldyke.gateway.broken_answer import BrokenAnswerError
 from quetzaldyke.gateway.dispatcher import Place
 from quetzaldyke.gateway.event_stream import StreamOrderError
 from quetzaldyke.gateway.exchange import (
@@ -16,6 +14,7 @@
     ResponseHead,
 )
 from quetzaldyke.gateway.http_client import encode_request
+from quetzaldyke.gateway.incomplete_response import IncompleteResponseError
 from quetzaldyke.gateway.online_request import (
     Caller,
     Headers,
@@ -24,6 +23,7 @@
     Progress,
     RelayContext,
 )
+from quetzaldyke.gateway.responses import send_response
 from quetzaldyke.gateway.retries import (
     STATUS_MISDIRECTED,
     STATUS_TIMEOUT,
@@ -253,7 +253,7 @@
             if retry:
                 return None
         if progress.started:
-            raise BrokenAnswerError(progress.last_failure)
+            raise IncompleteResponseError(progress.last_failure)
         return await self.pass_body(head, body, progress.last_failure)
 
     async def pass_body(
@@ -263,7 +263,9 @@
         reason: str,
     ) -> Outcome:
         """Send a whole answer."""
-        await answer(self.caller, head.status, body, answer_headers(head))
+        await send_response(
+            self.caller, head.status, body, answer_headers(head)
+        )
         return Outcome(head.status, reason)
 
     async def pass_stream(self, head: ResponseHead) -> Outcome:
--- a/src/quetzaldyke/gateway/crashes.py
+++ b/src/quetzaldyke/gateway/crashes.py
@@ -33,10 +33,10 @@
 
 
 @dataclass(slots=True)
-class CrashBook:
+class CrashTracker:
     """Endpoints that broke while they ran a request, by fingerprint.
 
-    >>> book = CrashBook(now_ms=lambda: 1000)
+    >>> book = CrashTracker(now_ms=lambda: 1000)
     >>> for endpoint_id in ('a', 'b', 'b'):
     ...     book.note('f', endpoint_id)
     >>> book.is_suspect('f')
@@ -48,7 +48,7 @@
 
     now_ms: Callable[[], int] = wall_clock_ms
     # Tells the other entries what is new: crashes, and those cleared.
-    tell: Callable[[CrashTable, CrashTable], None] = lambda *news: None
+    broadcast: Callable[[CrashTable, CrashTable], None] = lambda *news: None
     book: SuspectBook = field(default_factory=make_book)
     # Numbers the crashes that this entry saw.
     number: int = 0
@@ -58,14 +58,14 @@
         now_ms = self.now_ms()
         self.number += 1
         crash_id = make_crash_id(now_ms, endpoint_id, self.number, alone=False)
-        self.tell(self.book.record(crash_id, [fingerprint], now_ms), {})
+        self.broadcast(self.book.record(crash_id, [fingerprint], now_ms), {})
         self.limit()
 
     def note_served(self, fingerprint: str) -> None:
         """An endpoint ran a request to its end."""
         cleared = self.book.clear(fingerprint)
         if cleared:
-            self.tell({}, cleared)
+            self.broadcast({}, cleared)
 
     def merge(self, crashes: CrashTable, cleared: CrashTable) -> None:
         """Take over what another entry saw."""
--- a/src/quetzaldyke/gateway/entry.py
+++ b/src/quetzaldyke/gateway/entry.py
@@ -13,7 +13,7 @@
 from quetzaldyke.gateway.batch_runner import BatchRunner
 from quetzaldyke.gateway.batch_schedule import BatchPolicy
 from quetzaldyke.gateway.configuration_feed import ConfigurationFeed
-from quetzaldyke.gateway.crashes import CrashBook
+from quetzaldyke.gateway.crashes import CrashTracker
 from quetzaldyke.gateway.dispatcher import Dispatcher
 from quetzaldyke.gateway.endpoint_feed import EndpointFeed
 from quetzaldyke.gateway.endpoints import EndpointBook
@@ -148,8 +148,8 @@
             RelayContext(
                 dispatcher,
                 client,
-                CrashBook(
-                    tell=lambda crashes, cleared: entry.gossip.broadcast(
+                CrashTracker(
+                    broadcast=lambda crashes, cleared: entry.gossip.broadcast(
                         CrashNews(owner_id, crashes, cleared),
                     ),
                 ),
@@ -352,7 +352,7 @@
 
     async def watch_exchanges(self) -> None:
         """End the exchanges whose peer has been silent for too long."""
-        self.client.end_overdue(self.clock.now())
+        self.client.cancel_timed_out(self.clock.now())
 
     async def batch_tick(self) -> None:
         """Start items and list results."""
@@ -383,7 +383,7 @@
 
     async def clean(self) -> None:
         """Forget what is over."""
-        self.client.drop_expired()
+        self.client.close_expired()
         self.ingress.context.crashes.forget_old()
         self.store.path.forget_silent(self.clock.now())
         await self.store.probe_direct()
--- a/src/quetzaldyke/gateway/event_stream.py
+++ b/src/quetzaldyke/gateway/event_stream.py
@@ -61,10 +61,10 @@
         self.last_id = event_id
 
 
-def data_of(events: bytes) -> list[bytes]:
+def event_data(events: bytes) -> list[bytes]:
     r"""Return the data of each event.
 
-    >>> data_of(b'id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\n')
+    >>> event_data(b'id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\n')
     [b'a', b'b\nc']
     """
     found = []
--- a/src/quetzaldyke/gateway/http_client.py
+++ b/src/quetzaldyke/gateway/http_client.py
@@ -235,7 +235,7 @@
         """Keep a connection for the next request."""
         self.idle.append(connection)
 
-    def drop_expired(self, now_s: float) -> None:
+    def close_expired(self, now_s: float) -> None:
         """Close the connections that were idle for too long."""
         kept = []
         for connection in self.idle:
@@ -296,7 +296,7 @@
         connection = pool.take(max_idle_s) or await self.connect(pool)
         connection.send(exchange, request)
 
-    def end_overdue(self, now_s: float) -> None:
+    def cancel_timed_out(self, now_s: float) -> None:
         """End the exchanges whose peer has been silent for too long."""
         for exchange in list(self.active):
             if exchange.complete or exchange.failure is not None:
@@ -304,11 +304,11 @@
             elif exchange.check_time(now_s):
                 self.active.discard(exchange)
 
-    def drop_expired(self) -> None:
+    def close_expired(self) -> None:
         """Close idle connections whose time is over."""
         now_s = time.monotonic()
         for address, pool in list(self.pools.items()):
-            pool.drop_expired(now_s)
+            pool.close_expired(now_s)
             if not pool.idle:
                 del self.pools[address]
 
--- a/src/quetzaldyke/gateway/broken_answer.py
+++ b/src/quetzaldyke/gateway/incomplete_response.py
@@ -3,5 +3,5 @@
 from __future__ import annotations
 
 
-class BrokenAnswerError(Exception):
+class IncompleteResponseError(Exception):
     """An answer that had begun can't be completed; its channel must end."""
--- a/src/quetzaldyke/gateway/ingress.py
+++ b/src/quetzaldyke/gateway/ingress.py
@@ -16,9 +16,8 @@
     Scope,
     Send,
 )
-from quetzaldyke.gateway.answers import answer, refuse
-from quetzaldyke.gateway.broken_answer import BrokenAnswerError
 from quetzaldyke.gateway.event_stream import EventSplitter
+from quetzaldyke.gateway.incomplete_response import IncompleteResponseError
 from quetzaldyke.gateway.model import CallerLimits, Configuration, Route
 from quetzaldyke.gateway.online_request import (
     Headers,
@@ -27,6 +26,7 @@
     RelayContext,
 )
 from quetzaldyke.gateway.relay import relay
+from quetzaldyke.gateway.responses import send_refusal, send_response
 from quetzaldyke.gateway.route_table import RouteTable, choose_service
 from quetzaldyke.platform import names
 from quetzaldyke.process.metrics import Metrics
@@ -172,7 +172,7 @@
         caller: AsgiCaller,
     ) -> None:
         """Serve a request and stop its work when the caller leaves."""
-        broken: BrokenAnswerError | None = None
+        broken: IncompleteResponseError | None = None
         async with anyio.create_task_group() as group:
 
             async def watch_caller() -> None:
@@ -183,7 +183,7 @@
             group.start_soon(watch_caller)
             try:
                 await self.serve(request, caller)
-            except BrokenAnswerError as exc:
+            except IncompleteResponseError as exc:
                 broken = exc
             group.cancel_scope.cancel()
         if broken is not None:
@@ -242,7 +242,7 @@
         progress = Progress(EventSplitter(online.last_event))
         try:
             outcome = await relay(self.context, online, caller, progress)
-        except BrokenAnswerError as exc:
+        except IncompleteResponseError as exc:
             self.record(online, kind, 'broken', str(exc), progress)
             raise
         except cancelled:
@@ -314,7 +314,7 @@
         """Reject a request that is wrong in itself."""
         self.metrics.count('requests_rejected_total', status=str(status))
         self.context.log_event('request_rejected', status=status)
-        await answer(caller, status)
+        await send_response(caller, status)
 
     async def refuse(
         self,
@@ -331,7 +331,7 @@
             reason=reason,
         )
         pause = b'%.2f' % NO_CONFIGURATION_RETRY_S
-        await refuse(caller, STATUS_UNAVAILABLE, pause)
+        await send_refusal(caller, STATUS_UNAVAILABLE, pause)
 
 
 def ms_since(start_s: float, end_s: float) -> int | str:
@@ -361,6 +361,6 @@
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
         reason = unready_reason().encode()
         status = STATUS_UNAVAILABLE if reason else STATUS_OK
-        await answer(AsgiCaller(send, closing=False), status, reason)
+        await send_response(AsgiCaller(send, closing=False), status, reason)
 
     return app
--- a/src/quetzaldyke/gateway/item_run.py
+++ b/src/quetzaldyke/gateway/item_run.py
@@ -12,7 +12,7 @@
 from quetzaldyke.gateway.active_job import ActiveJob, ItemProgress
 from quetzaldyke.gateway.batch_schedule import RunTimes
 from quetzaldyke.gateway.dispatcher import Dispatcher, Place
-from quetzaldyke.gateway.event_stream import StreamOrderError, data_of
+from quetzaldyke.gateway.event_stream import StreamOrderError, event_data
 from quetzaldyke.gateway.exchange import (
     Exchange,
     ExchangeError,
@@ -152,7 +152,7 @@
         while chunk := await self.read_chunk():
             events = progress.splitter.feed(chunk)
             if events:
-                progress.outputs.extend(data_of(events))
+                progress.outputs.extend(event_data(events))
         if progress.splitter.partial:
             raise ExchangeError(Failure.BROKEN, 'ended inside an event')
         self.context.dispatcher.book.note_success(self.endpoint_id)
--- a/src/quetzaldyke/gateway/job_api.py
+++ b/src/quetzaldyke/gateway/job_api.py
@@ -10,13 +10,13 @@
 import anyio
 from result import Err, Ok, Result
 
-from quetzaldyke.gateway.answers import answer, refuse
 from quetzaldyke.gateway.ingress import AsgiCaller, ReceivedRequest
 from quetzaldyke.gateway.job_book import JobView
 from quetzaldyke.gateway.job_store import JobStore
 from quetzaldyke.gateway.logs import log_event
 from quetzaldyke.gateway.model import Route
 from quetzaldyke.gateway.new_job import NewJob, make_job
+from quetzaldyke.gateway.responses import send_refusal, send_response
 from quetzaldyke.parts.kv import KvError
 from quetzaldyke.platform import names
 from quetzaldyke.platform.jobs import (
@@ -86,15 +86,15 @@
         raw_id = request.header(names.ATTEMPT_ID)
         decoded = decode_submission(request.body)
         if not raw_id or isinstance(decoded, Err):
-            await answer(caller, STATUS_BAD_REQUEST)
+            await send_response(caller, STATUS_BAD_REQUEST)
             return
         job_id = raw_id.decode('latin-1')
         if self.store.book.view_known(job_id):
-            await answer(caller, STATUS_ACCEPTED)
+            await send_response(caller, STATUS_ACCEPTED)
             return
         if not self.store_up():
             log_event('job_refused', job=job_id, reason='store_down')
-            await refuse(caller, STATUS_UNAVAILABLE, OUTAGE_RETRY_S)
+            await send_refusal(caller, STATUS_UNAVAILABLE, OUTAGE_RETRY_S)
             return
         job = make_job(job_id, route, decoded.ok_value)
         accepted = await self.store.accept(job, route)
@@ -107,7 +107,7 @@
                 tokens=job.tokens,
             )
             self.run_accepted(job)
-            await answer(caller, STATUS_ACCEPTED)
+            await send_response(caller, STATUS_ACCEPTED)
             return
         failure = accepted.err_value
         log_event(
@@ -118,11 +118,11 @@
             waiting=self.store.book.waiting_tokens(route.name),
         )
         if failure == 'unknown':
-            await answer(caller, STATUS_BAD_GATEWAY)
+            await send_response(caller, STATUS_BAD_GATEWAY)
         elif failure == 'over_quota':
-            await refuse(caller, STATUS_TOO_MANY, QUOTA_RETRY_S)
+            await send_refusal(caller, STATUS_TOO_MANY, QUOTA_RETRY_S)
         else:
-            await refuse(caller, STATUS_UNAVAILABLE, OUTAGE_RETRY_S)
+            await send_refusal(caller, STATUS_UNAVAILABLE, OUTAGE_RETRY_S)
 
     async def find(self, job_id: str, caller: AsgiCaller) -> JobView | None:
         """Return a job; answers the caller when there is none."""
@@ -131,7 +131,7 @@
             await self.unavailable(job_id, found.err_value, caller)
             return None
         if found.ok_value is None or not found.ok_value.known:
-            await answer(caller, STATUS_NOT_FOUND)
+            await send_response(caller, STATUS_NOT_FOUND)
             return None
         return found.ok_value
 
@@ -143,7 +143,7 @@
     ) -> None:
         """Say that a job can't be read now."""
         log_event('job_not_readable', job=job_id, reason=str(error))
-        await refuse(caller, STATUS_UNAVAILABLE, OUTAGE_RETRY_S)
+        await send_refusal(caller, STATUS_UNAVAILABLE, OUTAGE_RETRY_S)
 
     async def read(
         self,
@@ -162,7 +162,7 @@
         if isinstance(page, Err):
             await self.unavailable(job_id, page.err_value, caller)
             return
-        await answer(caller, STATUS_OK, page.ok_value, [JSON_TYPE])
+        await send_response(caller, STATUS_OK, page.ok_value, [JSON_TYPE])
 
     async def page(self, view: JobView, after: int) -> Result[bytes, KvError]:
         """Return one page of results."""
@@ -203,7 +203,7 @@
             None,
         )
         if item is None:
-            await answer(caller, STATUS_NOT_FOUND)
+            await send_response(caller, STATUS_NOT_FOUND)
             return
         part = await self.store.read_body_part(job_id, item.body_part)
         if isinstance(part, Err):
@@ -211,7 +211,7 @@
             return
         end = item.body_start + item.body_size
         body = part.ok_value[item.body_start : end]
-        await answer(caller, STATUS_OK, body)
+        await send_response(caller, STATUS_OK, body)
 
     async def end(self, job_id: str, caller: AsgiCaller) -> None:
         """End a job."""
@@ -222,7 +222,9 @@
         if ended.ok_value:
             self.tell_ended(job_id)
         log_event('job_ended', job=job_id, found=ended.ok_value)
-        await answer(caller, STATUS_OK if ended.ok_value else STATUS_NOT_FOUND)
+        await send_response(
+            caller, STATUS_OK if ended.ok_value else STATUS_NOT_FOUND
+        )
 
 
 async def wait_for_result(view: JobView, after: int, wait_s: float) -> None:
--- a/src/quetzaldyke/gateway/logs.py
+++ b/src/quetzaldyke/gateway/logs.py
@@ -17,7 +17,7 @@
 
 import eliot
 
-from quetzaldyke.gateway.broken_answer import BrokenAnswerError
+from quetzaldyke.gateway.incomplete_response import IncompleteResponseError
 from quetzaldyke.process.logs import render_line
 
 LINES_PER_S: Final = 60.0
@@ -121,7 +121,7 @@
     def emit(self, record: logging.LogRecord) -> None:
         """Log a record, but for faults that end a channel on purpose."""
         fault = record.exc_info[1] if record.exc_info else None
-        if not isinstance(fault, BrokenAnswerError):
+        if not isinstance(fault, IncompleteResponseError):
             log_event(
                 'library_fault',
                 logger=record.name,
--- a/src/quetzaldyke/gateway/metrics_app.py
+++ b/src/quetzaldyke/gateway/metrics_app.py
@@ -5,8 +5,8 @@
 from typing import Final
 
 from quetzaldyke.connection.http_server import App, Receive, Scope, Send
-from quetzaldyke.gateway.answers import answer
 from quetzaldyke.gateway.ingress import AsgiCaller
+from quetzaldyke.gateway.responses import send_response
 from quetzaldyke.process.metrics import Metrics
 
 TEXT_TYPE: Final = (b'content-type', b'text/plain; version=0.0.4')
@@ -19,6 +19,6 @@
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
         body = metrics.render().encode()
         caller = AsgiCaller(send, closing=False)
-        await answer(caller, STATUS_OK, body, [TEXT_TYPE])
+        await send_response(caller, STATUS_OK, body, [TEXT_TYPE])
 
     return app
--- a/src/quetzaldyke/gateway/online_request.py
+++ b/src/quetzaldyke/gateway/online_request.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from quetzaldyke.gateway.crashes import CrashBook
+from quetzaldyke.gateway.crashes import CrashTracker
 from quetzaldyke.gateway.dispatcher import Dispatcher
 from quetzaldyke.gateway.event_stream import EventSplitter
 from quetzaldyke.gateway.http_client import HttpClient
@@ -95,7 +95,7 @@
 
     dispatcher: Dispatcher
     client: HttpClient
-    crashes: CrashBook
+    crashes: CrashTracker
     now: Callable[[], float]
     log_event: Callable[..., None]
 
--- a/src/quetzaldyke/gateway/relay.py
+++ b/src/quetzaldyke/gateway/relay.py
@@ -11,11 +11,11 @@
 
 from result import Err
 
-from quetzaldyke.gateway import answers
+from quetzaldyke.gateway import responses
 from quetzaldyke.gateway.attempt import Attempt
-from quetzaldyke.gateway.broken_answer import BrokenAnswerError
 from quetzaldyke.gateway.dispatcher import Refusal
 from quetzaldyke.gateway.exchange import Exchange
+from quetzaldyke.gateway.incomplete_response import IncompleteResponseError
 from quetzaldyke.gateway.online_request import (
     Caller,
     OnlineRequest,
@@ -43,7 +43,7 @@
     caller: Caller,
     progress: Progress,
 ) -> Outcome:
-    """Serve one request; raises `BrokenAnswerError` to end its channel."""
+    """Serve one request; raises `IncompleteResponseError` to end its channel."""
     if context.crashes.is_suspect(request.fingerprint()):
         return await refuse(
             caller,
@@ -110,7 +110,7 @@
             refusal.reason,
         )
     pause = b'%.2f' % refusal.retry_after_s
-    await answers.refuse(caller, STATUS_UNAVAILABLE, pause)
+    await responses.send_refusal(caller, STATUS_UNAVAILABLE, pause)
     return Outcome(STATUS_UNAVAILABLE, refusal.reason)
 
 
@@ -122,9 +122,9 @@
 ) -> Outcome:
     """Give the final answer to a request that can't be served."""
     if progress.started:
-        raise BrokenAnswerError(reason)
+        raise IncompleteResponseError(reason)
     if status == STATUS_UNAVAILABLE:
-        await answers.refuse(caller, status, TURNED_AWAY_RETRY)
+        await responses.send_refusal(caller, status, TURNED_AWAY_RETRY)
     else:
-        await answers.answer(caller, status)
+        await responses.send_response(caller, status)
     return Outcome(status, reason)
--- a/src/quetzaldyke/gateway/answers.py
+++ b/src/quetzaldyke/gateway/responses.py
@@ -6,7 +6,7 @@
 from quetzaldyke.platform import names
 
 
-async def answer(
+async def send_response(
     caller: Caller,
     status: int,
     body: bytes = b'',
@@ -20,6 +20,6 @@
     await caller.finish()
 
 
-async def refuse(caller: Caller, status: int, retry_after: bytes) -> None:
+async def send_refusal(caller: Caller, status: int, retry_after: bytes) -> None:
     """Refuse a request and say when to come back."""
-    await answer(caller, status, b'', [(names.RETRY_AFTER, retry_after)])
+    await send_response(caller, status, b'', [(names.RETRY_AFTER, retry_after)])
--- a/tests/test_event_stream.py
+++ b/tests/test_event_stream.py
@@ -9,7 +9,7 @@
 from quetzaldyke.gateway.event_stream import (
     EventSplitter,
     StreamOrderError,
-    data_of,
+    event_data,
 )
 from quetzaldyke.standins.platform_endpoint import event_of
 
@@ -50,4 +50,4 @@
 
 def test_data_of_several_events() -> None:
     """Guards against outputs that lose or join lines."""
-    assert data_of(WHOLE)[:2] == [b'r/1', b'r/2']
+    assert event_data(WHOLE)[:2] == [b'r/1', b'r/2']
--- a/tests/test_gateway_attempts.py
+++ b/tests/test_gateway_attempts.py
@@ -9,7 +9,7 @@
 
 from gateway_kit import FakeTime, make_dispatcher, make_endpoint, make_route
 from quetzaldyke.gateway.attempt import Attempt
-from quetzaldyke.gateway.crashes import CrashBook
+from quetzaldyke.gateway.crashes import CrashTracker
 from quetzaldyke.gateway.dispatcher import Dispatcher
 from quetzaldyke.gateway.exchange import (
     Exchange,
@@ -79,7 +79,7 @@
         context = RelayContext(
             dispatcher,
             HttpClient(),
-            CrashBook(),
+            CrashTracker(),
             time.read,
             lambda *args, **fields: None,
         )
--- a/tests/test_gateway_crashes.py
+++ b/tests/test_gateway_crashes.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from quetzaldyke.gateway.crashes import KEPT_MS, MAX_FINGERPRINTS, CrashBook
+from quetzaldyke.gateway.crashes import KEPT_MS, MAX_FINGERPRINTS, CrashTracker
 
 
 class Fleet:
@@ -11,8 +11,12 @@
     def __init__(self) -> None:
         """Connect the books of two entries."""
         self.now_ms = 1_000_000
-        self.one = CrashBook(self.read_ms, lambda *news: self.two.merge(*news))
-        self.two = CrashBook(self.read_ms, lambda *news: self.one.merge(*news))
+        self.one = CrashTracker(
+            self.read_ms, lambda *news: self.two.merge(*news)
+        )
+        self.two = CrashTracker(
+            self.read_ms, lambda *news: self.one.merge(*news)
+        )
 
     def read_ms(self) -> int:
         """Return the present time."""
@@ -54,7 +58,7 @@
 
 def test_memory_is_bounded() -> None:
     """Guards against a book that a mass failure fills."""
-    book = CrashBook(lambda: 1_000_000)
+    book = CrashTracker(lambda: 1_000_000)
     for number in range(MAX_FINGERPRINTS + 10):
         book.note(str(number), 'a')
     assert len(book.book.crashes) == MAX_FINGERPRINTS
