--- a/src/quetzaldyke/gateway/attempt.py
+++ b/src/quetzaldyke/gateway/attempt.py
@@ -27,29 +27,29 @@
 from quetzaldyke.gateway.retries import (
     STATUS_MISDIRECTED,
     STATUS_TIMEOUT,
+    final_failure,
     is_not_run,
-    may_not_retry,
 )
 from quetzaldyke.gateway.stalls import (
-    extended_s,
-    first_event_s,
-    first_head_s,
-    next_event_s,
+    extended_deadline_s,
+    first_event_timeout_s,
+    head_deadline_s,
+    next_event_timeout_s,
 )
 from quetzaldyke.platform import names
 
 MS_IN_S: Final = 1000
 # An idle connection may have been dropped without notice; a request that
 # may run once goes on one only if it was used this recently.
-ONCE_MAX_IDLE_S: Final = 0.5
-REPEATABLE_MAX_IDLE_S: Final = 4.0
+NON_IDEMPOTENT_MAX_IDLE_S: Final = 0.5
+IDEMPOTENT_MAX_IDLE_S: Final = 4.0
 # An endpoint that sent something this lately serves; a crash is noticed by
 # the next connection.
-SERVING_S: Final = 0.2
+RECENTLY_SERVING_S: Final = 0.2
 STATUS_OK: Final = 200
 FIRST_ERROR_STATUS: Final = 400
-FIRST_FAULT_STATUS: Final = 500
-HOP_HEADERS: Final = frozenset(
+FIRST_SERVER_ERROR_STATUS: Final = 500
+HOP_BY_HOP_HEADERS: Final = frozenset(
     (
         b'connection',
         b'keep-alive',
@@ -71,7 +71,7 @@
     ),
 )
 # Told to this process, or written anew by its server.
-INNER_HEADERS: Final = frozenset((names.LOAD, b'content-length'))
+INTERNAL_HEADERS: Final = frozenset((names.LOAD, b'content-length'))
 
 
 @dataclass(slots=True)
@@ -97,7 +97,7 @@
             if is_not_run(head):
                 self.note_not_run(head)
                 return None
-            return await self.take_answer(head)
+            return await self.handle_response(head)
         except ExchangeError as exc:
             self.note_failure(exc)
             return None
@@ -113,27 +113,29 @@
             endpoint.port,
             self.encode(),
             self.exchange,
-            REPEATABLE_MAX_IDLE_S if idempotent else ONCE_MAX_IDLE_S,
+            IDEMPOTENT_MAX_IDLE_S if idempotent else NON_IDEMPOTENT_MAX_IDLE_S,
         )
         self.progress.attempts += 1
         self.context.client.active.add(self.exchange)
-        self.exchange.expires_at_s = first_head_s(
+        self.exchange.expires_at_s = head_deadline_s(
             self.request,
             self.place,
             self.progress.attempts,
             self.context.now(),
         )
         if self.request.route.kind == 'stream':
-            self.exchange.extend = self.extend_first_event
+            self.exchange.extend = self.extend_first_event_wait
         return await self.exchange.read_head()
 
-    def extend_first_event(self, now_s: float) -> float:
+    def extend_first_event_wait(self, now_s: float) -> float:
         """Return until when the first event may take, 0 for no longer."""
-        if self.progress.run_events or now_s >= self.request.deadline_s:
+        if self.progress.event_chunks or now_s >= self.request.deadline_s:
             return 0.0
-        silence_s = first_event_s(self.request.route, self.place)
+        silence_timeout_s = first_event_timeout_s(
+            self.request.route, self.place
+        )
         book = self.context.dispatcher.book
-        return extended_s(book, self.place, silence_s, now_s)
+        return extended_deadline_s(book, self.place, silence_timeout_s, now_s)
 
     def encode(self) -> bytes:
         """Return the request as the endpoint gets it."""
@@ -142,7 +144,8 @@
         headers = [
             pair
             for pair in request.headers
-            if pair[0] not in HOP_HEADERS and pair[0] not in REPLACED_HEADERS
+            if pair[0] not in HOP_BY_HOP_HEADERS
+            and pair[0] not in REPLACED_HEADERS
         ]
         headers.append((names.DEADLINE, b'%d' % max(1, int(left_s * MS_IN_S))))
         headers.append((names.EXPECTED_ENDPOINT, self.endpoint_id.encode()))
@@ -159,37 +162,39 @@
     def note_not_run(self, head: ResponseHead) -> None:
         """Remember an endpoint that turned the request away."""
         self.progress.attempts -= 1
-        self.progress.tried.add(self.endpoint_id)
+        self.progress.tried_endpoints.add(self.endpoint_id)
         self.progress.last_failure = f'endpoint_refused_{head.status}'
         ejected_s = 0.0
         if head.status == STATUS_MISDIRECTED:
             ejected_s = self.eject()
-        self.log('attempt_not_run', f'status {head.status}', ejected_s)
+        self.log_attempt('attempt_not_run', f'status {head.status}', ejected_s)
 
     def note_failure(self, exc: ExchangeError) -> None:
         """Remember a failed exchange and what it says of the endpoint."""
-        self.progress.tried.add(self.endpoint_id)
+        self.progress.tried_endpoints.add(self.endpoint_id)
         self.progress.last_failure = exc.failure.value
         if exc.failure is Failure.BROKEN:
-            self.context.crashes.note(
+            self.context.crashes.note_crash(
                 self.request.fingerprint(),
                 self.endpoint_id,
             )
-        self.log('attempt_failed', str(exc), self.eject_after(exc))
+        self.log_attempt(
+            'attempt_failed', str(exc), self.eject_unless_serving(exc)
+        )
 
     def note_served(self) -> None:
         """Remember that the endpoint ran the request to its end."""
         self.context.dispatcher.book.note_success(self.endpoint_id)
         self.context.crashes.note_served(self.request.fingerprint())
 
-    def eject_after(self, exc: ExchangeError) -> float:
+    def eject_unless_serving(self, exc: ExchangeError) -> float:
         """Eject the endpoint unless it has just served others."""
         book = self.context.dispatcher.book
         now_s = self.context.now()
         if exc.failure is Failure.STALLED:
             since_s = self.place.taken_s
         elif exc.failure is Failure.BROKEN:
-            since_s = now_s - SERVING_S
+            since_s = now_s - RECENTLY_SERVING_S
         else:
             return self.eject()
         if book.sent_since(self.endpoint_id, since_s):
@@ -203,7 +208,7 @@
             self.context.now(),
         )
 
-    def log(self, event: str, failure: str, ejected_s: float) -> None:
+    def log_attempt(self, event: str, failure: str, ejected_s: float) -> None:
         """Log what became of this attempt."""
         self.context.log_event(
             event,
@@ -219,44 +224,46 @@
             ejected_s=ejected_s,
         )
 
-    async def take_answer(self, head: ResponseHead) -> Outcome | None:
+    async def handle_response(self, head: ResponseHead) -> Outcome | None:
         """Pass an answer on to the caller."""
         signed = head.get(names.SIGNATURE) is not None
         if head.status < FIRST_ERROR_STATUS and not signed:
             raise ExchangeError(Failure.MALFORMED, 'no signature')
         if self.request.route.kind == 'stream' and head.status == STATUS_OK:
-            return await self.pass_stream(head)
+            return await self.forward_stream(head)
         self.exchange.expires_at_s = self.request.deadline_s
         body = await self.exchange.read_body()
         if head.status >= FIRST_ERROR_STATUS:
-            return await self.take_error(head, body)
-        if self.progress.started:
+            return await self.handle_error_response(head, body)
+        if self.progress.response_started:
             raise ExchangeError(Failure.MALFORMED, f'status {head.status}')
         self.note_served()
-        return await self.pass_body(head, body, 'served')
+        return await self.forward_body(head, body, 'served')
 
-    async def take_error(
+    async def handle_error_response(
         self,
         head: ResponseHead,
         body: bytes,
     ) -> Outcome | None:
         """Try another endpoint after a fault if that is allowed."""
         progress = self.progress
-        progress.tried.add(self.endpoint_id)
+        progress.tried_endpoints.add(self.endpoint_id)
         progress.last_failure = f'endpoint_status_{head.status}'
-        if head.status >= FIRST_FAULT_STATUS:
+        if head.status >= FIRST_SERVER_ERROR_STATUS:
             # A request that ran out of time says nothing of the endpoint.
-            late = head.status == STATUS_TIMEOUT
-            ejected_s = 0.0 if late else self.eject()
-            self.log('attempt_failed', f'status {head.status}', ejected_s)
-            retry = may_not_retry(self.context, self.request, progress) is None
+            timed_out = head.status == STATUS_TIMEOUT
+            ejected_s = 0.0 if timed_out else self.eject()
+            self.log_attempt(
+                'attempt_failed', f'status {head.status}', ejected_s
+            )
+            retry = final_failure(self.context, self.request, progress) is None
             if retry:
                 return None
-        if progress.started:
+        if progress.response_started:
             raise IncompleteResponseError(progress.last_failure)
-        return await self.pass_body(head, body, progress.last_failure)
+        return await self.forward_body(head, body, progress.last_failure)
 
-    async def pass_body(
+    async def forward_body(
         self,
         head: ResponseHead,
         body: bytes,
@@ -264,38 +271,40 @@
     ) -> Outcome:
         """Send a whole answer."""
         await send_response(
-            self.caller, head.status, body, answer_headers(head)
+            self.caller, head.status, body, end_to_end_headers(head)
         )
         return Outcome(head.status, reason)
 
-    async def pass_stream(self, head: ResponseHead) -> Outcome:
+    async def forward_stream(self, head: ResponseHead) -> Outcome:
         """Pass a stream on, event by event."""
         self.progress.splitter.restart()
-        if not self.progress.started:
-            self.progress.started = True
-            await self.caller.start(head.status, answer_headers(head))
-        may_move = (
+        if not self.progress.response_started:
+            self.progress.response_started = True
+            await self.caller.start(head.status, end_to_end_headers(head))
+        may_resume = (
             self.request.route.resumable
             and self.progress.attempts < self.request.route.max_attempts
         )
-        passing = True
-        while passing:
-            passing = await self.pass_events(may_move=may_move)
+        more_events = True
+        while more_events:
+            more_events = await self.forward_events(may_resume=may_resume)
         if self.progress.splitter.partial:
             raise ExchangeError(Failure.BROKEN, 'ended inside an event')
         self.note_served()
         await self.caller.finish()
         return Outcome(head.status, 'served')
 
-    async def pass_events(self, *, may_move: bool) -> bool:
+    async def forward_events(self, *, may_resume: bool) -> bool:
         """Pass the next events on; False at the end of the stream."""
         now_s = self.context.now()
         route = self.request.route
         limit_s = self.request.deadline_s
-        if may_move and self.progress.run_events:
-            limit_s = min(limit_s, now_s + next_event_s(route))
-        elif may_move:
-            limit_s = min(limit_s, now_s + first_event_s(route, self.place))
+        if may_resume and self.progress.event_chunks:
+            limit_s = min(limit_s, now_s + next_event_timeout_s(route))
+        elif may_resume:
+            limit_s = min(
+                limit_s, now_s + first_event_timeout_s(route, self.place)
+            )
         self.exchange.expires_at_s = limit_s
         chunk = await self.exchange.read_chunk()
         if not chunk:
@@ -312,10 +321,10 @@
         return True
 
 
-def answer_headers(head: ResponseHead) -> Headers:
+def end_to_end_headers(head: ResponseHead) -> Headers:
     """Return the headers that concern the caller."""
     return [
         pair
         for pair in head.headers
-        if pair[0] not in HOP_HEADERS and pair[0] not in INNER_HEADERS
+        if pair[0] not in HOP_BY_HOP_HEADERS and pair[0] not in INTERNAL_HEADERS
     ]
--- a/src/quetzaldyke/gateway/crashes.py
+++ b/src/quetzaldyke/gateway/crashes.py
@@ -21,69 +21,73 @@
     make_crash_id,
 )
 
-SUSPECT_ENDPOINTS: Final = 3
-KEPT_MS: Final = 300_000
+MIN_CRASHED_ENDPOINTS: Final = 3
+CRASH_RETENTION_MS: Final = 300_000
 # The oldest fingerprints are dropped beyond this.
 MAX_FINGERPRINTS: Final = 5_000
 
 
-def make_book() -> SuspectBook:
+def make_suspect_book() -> SuspectBook:
     """Return an empty book of crashes."""
-    return SuspectBook(kept_ms=KEPT_MS)
+    return SuspectBook(kept_ms=CRASH_RETENTION_MS)
 
 
 @dataclass(slots=True)
 class CrashTracker:
     """Endpoints that broke while they ran a request, by fingerprint.
 
-    >>> book = CrashTracker(now_ms=lambda: 1000)
+    >>> tracker = CrashTracker(now_ms=lambda: 1000)
     >>> for endpoint_id in ('a', 'b', 'b'):
-    ...     book.note('f', endpoint_id)
-    >>> book.is_suspect('f')
+    ...     tracker.note_crash('f', endpoint_id)
+    >>> tracker.is_suspect('f')
     False
-    >>> book.note('f', 'c')
-    >>> book.is_suspect('f')
+    >>> tracker.note_crash('f', 'c')
+    >>> tracker.is_suspect('f')
     True
     """
 
     now_ms: Callable[[], int] = wall_clock_ms
     # Tells the other entries what is new: crashes, and those cleared.
     broadcast: Callable[[CrashTable, CrashTable], None] = lambda *news: None
-    book: SuspectBook = field(default_factory=make_book)
+    suspects: SuspectBook = field(default_factory=make_suspect_book)
     # Numbers the crashes that this entry saw.
-    number: int = 0
+    crash_count: int = 0
 
-    def note(self, fingerprint: str, endpoint_id: str) -> None:
+    def note_crash(self, fingerprint: str, endpoint_id: str) -> None:
         """An endpoint broke off while it ran a request."""
         now_ms = self.now_ms()
-        self.number += 1
-        crash_id = make_crash_id(now_ms, endpoint_id, self.number, alone=False)
-        self.broadcast(self.book.record(crash_id, [fingerprint], now_ms), {})
-        self.limit()
+        self.crash_count += 1
+        crash_id = make_crash_id(
+            now_ms, endpoint_id, self.crash_count, alone=False
+        )
+        self.broadcast(
+            self.suspects.record(crash_id, [fingerprint], now_ms), {}
+        )
+        self.drop_oldest()
 
     def note_served(self, fingerprint: str) -> None:
         """An endpoint ran a request to its end."""
-        cleared = self.book.clear(fingerprint)
+        cleared = self.suspects.clear(fingerprint)
         if cleared:
             self.broadcast({}, cleared)
 
     def merge(self, crashes: CrashTable, cleared: CrashTable) -> None:
         """Take over what another entry saw."""
-        self.book.merge(crashes, cleared, self.now_ms())
-        self.limit()
+        self.suspects.merge(crashes, cleared, self.now_ms())
+        self.drop_oldest()
 
     def is_suspect(self, fingerprint: str) -> bool:
         """Tell whether a request broke too many endpoints lately."""
-        crash_ids = self.book.open_crashes(fingerprint)
-        broken = {crash_origin(one) for one in crash_ids}
-        return len(broken) >= SUSPECT_ENDPOINTS
+        crash_ids = self.suspects.open_crashes(fingerprint)
+        crashed = {crash_origin(one) for one in crash_ids}
+        return len(crashed) >= MIN_CRASHED_ENDPOINTS
 
     def forget_old(self) -> None:
         """Drop what is too old to count."""
-        self.book.forget_old(self.now_ms())
+        self.suspects.forget_old(self.now_ms())
 
-    def limit(self) -> None:
+    def drop_oldest(self) -> None:
         """Drop the oldest fingerprints beyond the limit."""
-        for table in (self.book.crashes, self.book.cleared):
+        for table in (self.suspects.crashes, self.suspects.cleared):
             while len(table) > MAX_FINGERPRINTS:
                 del table[next(iter(table))]
--- a/src/quetzaldyke/gateway/event_stream.py
+++ b/src/quetzaldyke/gateway/event_stream.py
@@ -51,10 +51,10 @@
         end += len(EVENT_END)
         whole, self.partial = text[:end], text[end:]
         for match in EVENT_ID.finditer(whole):
-            self.advance(int(match.group(1)))
+            self.check_order(int(match.group(1)))
         return whole
 
-    def advance(self, event_id: int) -> None:
+    def check_order(self, event_id: int) -> None:
         """Check that an event follows the one before."""
         if self.last_id is not None and event_id != self.last_id + 1:
             raise StreamOrderError(f'{event_id} after {self.last_id}')
--- a/src/quetzaldyke/gateway/exchange.py
+++ b/src/quetzaldyke/gateway/exchange.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 
-class Carrier(Protocol):
+class AbortableConnection(Protocol):
     """The connection that carries an exchange."""
 
     def abort(self) -> None:
@@ -65,14 +65,14 @@
 
     # Header that the answer must repeat; other answers are skipped.
     echo_header: bytes = b''
-    echo: bytes = b''
+    expected_echo: bytes = b''
     head: ResponseHead | None = None
     chunks: deque[bytes] = field(default_factory=deque)
     complete: bool = False
     failure: Failure | None = None
     detail: str = ''
     waiter: asyncio.Future[None] | None = None
-    connection: Carrier | None = None
+    connection: AbortableConnection | None = None
     unread_bytes: int = 0
     # Monotonic time at which the watchdog ends the wait; 0 for never.
     expires_at_s: float = 0.0
@@ -129,7 +129,7 @@
             body += chunk
         return bytes(body)
 
-    def check_time(self, now_s: float) -> bool:
+    def check_timeout(self, now_s: float) -> bool:
         """End the wait if its time is over; tell whether it was ended."""
         if not self.expires_at_s or now_s <= self.expires_at_s:
             return False
--- a/src/quetzaldyke/gateway/http_client.py
+++ b/src/quetzaldyke/gateway/http_client.py
@@ -44,11 +44,11 @@
         self.parser = httptools.HttpResponseParser(self)
         self.exchange: Exchange | None = None
         self.closed = False
-        self.paused = False
-        self.keep = True
-        self.skipping = False
+        self.reading_paused = False
+        self.reusable = True
+        self.skipping_response = False
         self.framed = False
-        self.answer_ended = False
+        self.response_complete = False
         self.headers: list[tuple[bytes, bytes]] = []
         self.keep_alive_s = DEFAULT_KEEP_ALIVE_S
         self.idle_since_s = 0.0
@@ -61,7 +61,7 @@
         """Send a request whose answer goes to the exchange."""
         assert self.transport is not None
         self.exchange = exchange
-        self.answer_ended = False
+        self.response_complete = False
         exchange.connection = self
         self.transport.write(request)
 
@@ -74,7 +74,7 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as exc:
-            self.finish_broken(Failure.MALFORMED, repr(exc))
+            self.fail(Failure.MALFORMED, repr(exc))
 
     def eof_received(self) -> bool:
         """Close as soon as the peer does."""
@@ -96,8 +96,8 @@
     def on_message_begin(self) -> None:
         """Start an answer; one after our answer ends the connection."""
         self.headers = []
-        if self.answer_ended:
-            self.keep = False
+        if self.response_complete:
+            self.reusable = False
 
     def on_header(self, name: bytes, content: bytes) -> None:
         """Collect a header."""
@@ -107,13 +107,13 @@
         """Hand over the head if the answer is for our request."""
         exchange = self.exchange
         status = self.parser.get_status_code()
-        if exchange is None or self.answer_ended:
+        if exchange is None or self.response_complete:
             return
         head = ResponseHead(status, self.headers)
-        self.skipping = status < FIRST_FINAL_STATUS or is_foreign(
-            exchange, head
+        self.skipping_response = (
+            status < FIRST_FINAL_STATUS or answers_other_request(exchange, head)
         )
-        if self.skipping:
+        if self.skipping_response:
             return
         self.framed = (
             head.get(b'content-length') is not None
@@ -127,9 +127,9 @@
         """Note whether and for how long the peer keeps the connection."""
         connection = head.get(b'connection')
         if connection is not None and connection.lower() == b'close':
-            self.keep = False
+            self.reusable = False
         if not self.framed:
-            self.keep = False
+            self.reusable = False
         stated = head.get(b'keep-alive')
         if stated is None:
             return
@@ -141,26 +141,26 @@
     def on_body(self, body: bytes) -> None:
         """Hand over a part of the body."""
         exchange = self.exchange
-        if exchange is None or self.skipping or self.answer_ended:
+        if exchange is None or self.skipping_response or self.response_complete:
             return
         exchange.chunks.append(body)
         exchange.unread_bytes += len(body)
-        if exchange.unread_bytes > MAX_UNREAD_BYTES and not self.paused:
+        if exchange.unread_bytes > MAX_UNREAD_BYTES and not self.reading_paused:
             assert self.transport is not None
-            self.paused = True
+            self.reading_paused = True
             self.transport.pause_reading()
         exchange.wake()
 
     def on_message_complete(self) -> None:
         """End the exchange and offer the connection for reuse."""
         exchange = self.exchange
-        if exchange is None or self.answer_ended:
+        if exchange is None or self.response_complete:
             return
-        if self.skipping:
+        if self.skipping_response:
             # The answer to our request is still due behind this one.
-            self.skipping = False
+            self.skipping_response = False
             return
-        self.answer_ended = True
+        self.response_complete = True
         exchange.complete = True
         exchange.wake()
         asyncio.get_running_loop().call_soon(self.release)
@@ -172,7 +172,7 @@
         if self.closed or transport is None:
             return
         unsent = transport.get_write_buffer_size()
-        if not self.keep or unsent or transport.is_closing():
+        if not self.reusable or unsent or transport.is_closing():
             transport.abort() if unsent else transport.close()
             self.closed = True
             return
@@ -181,11 +181,15 @@
 
     def resume_reading(self) -> None:
         """Read again after the reader has caught up."""
-        if self.paused and self.transport is not None and not self.closed:
-            self.paused = False
+        if (
+            self.reading_paused
+            and self.transport is not None
+            and not self.closed
+        ):
+            self.reading_paused = False
             self.transport.resume_reading()
 
-    def finish_broken(self, failure: Failure, detail: str) -> None:
+    def fail(self, failure: Failure, detail: str) -> None:
         """End the exchange and break the connection."""
         exchange = self.exchange
         self.exchange = None
@@ -200,12 +204,12 @@
             self.transport.abort()
 
 
-def is_foreign(exchange: Exchange, head: ResponseHead) -> bool:
+def answers_other_request(exchange: Exchange, head: ResponseHead) -> bool:
     """Tell whether an answer names another request than ours."""
     if not exchange.echo_header:
         return False
     echoed = head.get(exchange.echo_header)
-    return echoed is not None and echoed != exchange.echo
+    return echoed is not None and echoed != exchange.expected_echo
 
 
 @dataclass(slots=True)
@@ -231,7 +235,7 @@
             connection.abort()
         return None
 
-    def keep(self, connection: Connection) -> None:
+    def add_idle(self, connection: Connection) -> None:
         """Keep a connection for the next request."""
         self.idle.append(connection)
 
@@ -255,7 +259,7 @@
 
     pools: dict[tuple[str, int], AddressPool] = field(default_factory=dict)
     active: set[Exchange] = field(default_factory=set)
-    opened: int = 0
+    connections_opened: int = 0
 
     def pool(self, host: str, port: int) -> AddressPool:
         """Return the pool of an address."""
@@ -274,13 +278,13 @@
         try:
             async with asyncio.timeout(timeout_s):
                 _, connection = await loop.create_connection(
-                    lambda: Connection(pool.keep),
+                    lambda: Connection(pool.add_idle),
                     pool.host,
                     pool.port,
                 )
         except (OSError, TimeoutError) as exc:
             raise ExchangeError(Failure.NOT_CONNECTED, repr(exc)) from exc
-        self.opened += 1
+        self.connections_opened += 1
         return connection
 
     async def start(
@@ -301,7 +305,7 @@
         for exchange in list(self.active):
             if exchange.complete or exchange.failure is not None:
                 self.active.discard(exchange)
-            elif exchange.check_time(now_s):
+            elif exchange.check_timeout(now_s):
                 self.active.discard(exchange)
 
     def close_expired(self) -> None:
--- a/src/quetzaldyke/gateway/ingress.py
+++ b/src/quetzaldyke/gateway/ingress.py
@@ -100,7 +100,7 @@
         )
 
 
-class CallerLeftError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller closed its channel before its request was complete."""
 
 
@@ -157,22 +157,22 @@
         self.open_requests += 1
         caller = AsgiCaller(send, closing=self.closing)
         try:
-            request = await self.read(scope, receive, caller)
+            request = await self.read_request(scope, receive, caller)
             if request is not None:
-                await self.until_caller_leaves(request, receive, caller)
-        except CallerLeftError:
+                await self.serve_until_disconnect(request, receive, caller)
+        except CallerDisconnectedError:
             self.metrics.count('callers_left_early_total')
         finally:
             self.open_requests -= 1
 
-    async def until_caller_leaves(
+    async def serve_until_disconnect(
         self,
         request: ReceivedRequest,
         receive: Receive,
         caller: AsgiCaller,
     ) -> None:
         """Serve a request and stop its work when the caller leaves."""
-        broken: IncompleteResponseError | None = None
+        incomplete: IncompleteResponseError | None = None
         async with anyio.create_task_group() as group:
 
             async def watch_caller() -> None:
@@ -184,13 +184,13 @@
             try:
                 await self.serve(request, caller)
             except IncompleteResponseError as exc:
-                broken = exc
+                incomplete = exc
             group.cancel_scope.cancel()
-        if broken is not None:
+        if incomplete is not None:
             # The server closes a channel whose answer ends in an error.
-            raise broken
+            raise incomplete
 
-    async def read(
+    async def read_request(
         self,
         scope: Scope,
         receive: Receive,
@@ -206,14 +206,14 @@
         while True:
             message = await receive()
             if message['type'] == 'http.disconnect':
-                raise CallerLeftError
+                raise CallerDisconnectedError
             body += message.get('body', b'')
             if len(body) > self.limits.max_body_bytes:
                 await self.reject(caller, STATUS_TOO_LARGE)
                 return None
             if not message.get('more_body', False):
                 break
-        return received(scope, headers, bytes(body))
+        return build_request(scope, headers, bytes(body))
 
     async def serve(self, request: ReceivedRequest, caller: AsgiCaller) -> None:
         """Find the route of a request and serve it."""
@@ -229,7 +229,7 @@
             else:
                 await self.refuse(caller, request, 'configuration_too_old')
             return
-        online = self.online_request(request, route)
+        online = self.to_online_request(request, route)
         if online is None:
             await self.reject(caller, STATUS_BAD_REQUEST)
             return
@@ -272,9 +272,9 @@
             status=status,
             reason=reason,
             elapsed_ms=int(elapsed_ms),
-            placed_ms=ms_since(online.arrived_s, progress.placed_s),
-            first_ms=ms_since(online.arrived_s, progress.first_byte_s),
-            deadline_ms=ms_since(online.arrived_s, online.deadline_s),
+            placed_ms=span_ms(online.arrived_s, progress.placed_s),
+            first_ms=span_ms(online.arrived_s, progress.first_event_at_s),
+            deadline_ms=span_ms(online.arrived_s, online.deadline_s),
             endpoint=progress.endpoint_id,
             running=progress.running,
             sends=progress.sends,
@@ -283,7 +283,7 @@
             config=self.table.version if self.table else 0,
         )
 
-    def online_request(
+    def to_online_request(
         self,
         request: ReceivedRequest,
         route: Route,
@@ -293,10 +293,10 @@
         if not request_id:
             return None
         now_s = self.context.now()
-        stated_ms = request.number(names.DEADLINE)
+        requested_ms = request.number(names.DEADLINE)
         limit_s = route.timeout_s
-        if stated_ms is not None:
-            limit_s = min(limit_s, stated_ms / MS_IN_S)
+        if requested_ms is not None:
+            limit_s = min(limit_s, requested_ms / MS_IN_S)
         return OnlineRequest(
             request_id=request_id,
             method=request.method,
@@ -334,12 +334,14 @@
         await send_refusal(caller, STATUS_UNAVAILABLE, pause)
 
 
-def ms_since(start_s: float, end_s: float) -> int | str:
+def span_ms(start_s: float, end_s: float) -> int | str:
     """Return a span in ms, or nothing if its end never came."""
     return int((end_s - start_s) * MS_IN_S) if end_s else ''
 
 
-def received(scope: Scope, headers: Headers, body: bytes) -> ReceivedRequest:
+def build_request(
+    scope: Scope, headers: Headers, body: bytes
+) -> ReceivedRequest:
     """Return a request in the project's form."""
     query: bytes = scope['query_string']
     raw_path: bytes = scope['raw_path']
--- a/src/quetzaldyke/gateway/online_request.py
+++ b/src/quetzaldyke/gateway/online_request.py
@@ -44,16 +44,16 @@
     deadline_s: float
     last_event: int | None
     # Kept, as the whole body goes into it and every failure asks for it.
-    known_fingerprint: str = ''
+    cached_fingerprint: str = ''
 
     def fingerprint(self) -> str:
         """Return what a repeated request has in common with this one."""
-        if self.known_fingerprint:
-            return self.known_fingerprint
+        if self.cached_fingerprint:
+            return self.cached_fingerprint
         digest = hashlib.blake2b(self.body, digest_size=8)
         digest.update(self.method + self.target)
-        self.known_fingerprint = digest.hexdigest()
-        return self.known_fingerprint
+        self.cached_fingerprint = digest.hexdigest()
+        return self.cached_fingerprint
 
 
 @dataclass(slots=True)
@@ -61,32 +61,32 @@
     """What has happened to a request so far."""
 
     splitter: EventSplitter = field(default_factory=EventSplitter)
-    started: bool = False
+    response_started: bool = False
     # Sends that an endpoint may have run.
     attempts: int = 0
     sends: int = 0
-    tried: set[str] = field(default_factory=set)
+    tried_endpoints: set[str] = field(default_factory=set)
     last_failure: str = ''
     endpoint_id: str = ''
-    first_byte_s: float = 0.0
+    first_event_at_s: float = 0.0
     # When the latest place was taken, and how many requests its endpoint
     # was believed to run.
     placed_s: float = 0.0
     running: int = 0
     # Chunks with events of the latest run.
-    run_events: int = 0
+    event_chunks: int = 0
 
     def begin_send(self, endpoint_id: str, placed_s: float) -> None:
         """Note the endpoint of the next send."""
         self.sends += 1
         self.endpoint_id = endpoint_id
         self.placed_s = placed_s
-        self.run_events = 0
+        self.event_chunks = 0
 
     def note_events(self, now_s: float) -> None:
         """Note that events have come."""
-        self.run_events += 1
-        self.first_byte_s = self.first_byte_s or now_s
+        self.event_chunks += 1
+        self.first_event_at_s = self.first_event_at_s or now_s
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/quetzaldyke/gateway/relay.py
+++ b/src/quetzaldyke/gateway/relay.py
@@ -26,15 +26,15 @@
 from quetzaldyke.gateway.retries import (
     STATUS_BAD_GATEWAY,
     STATUS_UNAVAILABLE,
-    may_not_retry,
+    final_failure,
 )
 from quetzaldyke.platform import names
 
 MS_IN_S: Final = 1000
 # Told to a caller whose request crashes endpoints; the fault stays.
-CRASHING_RETRY_S: Final = 60.0
+CRASHING_REQUEST_RETRY_S: Final = 60.0
 # Told to a caller whose request several endpoints turned away.
-TURNED_AWAY_RETRY: Final = b'0.5'
+REJECTED_RETRY_AFTER: Final = b'0.5'
 
 
 async def relay(
@@ -48,14 +48,14 @@
         return await refuse(
             caller,
             progress,
-            Refusal('crashes_endpoints', CRASHING_RETRY_S),
+            Refusal('crashes_endpoints', CRASHING_REQUEST_RETRY_S),
         )
     while True:
         placed = await context.dispatcher.place(
             request.service,
             request.route,
             request.deadline_s,
-            progress.tried,
+            progress.tried_endpoints,
             sent_before=progress.sends > 0,
         )
         if isinstance(placed, Err):
@@ -72,9 +72,9 @@
             context.dispatcher.release(place)
         if outcome is not None:
             return outcome
-        final = may_not_retry(context, request, progress)
+        final = final_failure(context, request, progress)
         if final is not None:
-            return await give_up(caller, progress, *final)
+            return await send_final_response(caller, progress, *final)
 
 
 def log_refusal(
@@ -102,8 +102,8 @@
     refusal: Refusal,
 ) -> Outcome:
     """Reject a request; it is told to have not run only when that is true."""
-    if progress.attempts or progress.started:
-        return await give_up(
+    if progress.attempts or progress.response_started:
+        return await send_final_response(
             caller,
             progress,
             STATUS_BAD_GATEWAY,
@@ -114,17 +114,17 @@
     return Outcome(STATUS_UNAVAILABLE, refusal.reason)
 
 
-async def give_up(
+async def send_final_response(
     caller: Caller,
     progress: Progress,
     status: int,
     reason: str,
 ) -> Outcome:
     """Give the final answer to a request that can't be served."""
-    if progress.started:
+    if progress.response_started:
         raise IncompleteResponseError(reason)
     if status == STATUS_UNAVAILABLE:
-        await responses.send_refusal(caller, status, TURNED_AWAY_RETRY)
+        await responses.send_refusal(caller, status, REJECTED_RETRY_AFTER)
     else:
         await responses.send_response(caller, status)
     return Outcome(status, reason)
--- a/src/quetzaldyke/gateway/retries.py
+++ b/src/quetzaldyke/gateway/retries.py
@@ -34,7 +34,7 @@
     return refused or head.status == STATUS_MISDIRECTED
 
 
-def may_not_retry(
+def final_failure(
     context: RelayContext,
     request: OnlineRequest,
     progress: Progress,
--- a/src/quetzaldyke/gateway/stalls.py
+++ b/src/quetzaldyke/gateway/stalls.py
@@ -16,42 +16,42 @@
 
 FIRST_EVENT_SHARE: Final = 0.5
 NEXT_EVENT_SHARE: Final = 0.6
-MIN_SILENCE_S: Final = 0.12
+MIN_EVENT_TIMEOUT_S: Final = 0.12
 # An endpoint that had no free slot needs time for the requests before.
-QUEUED_SILENCE_S: Final = 0.7
+QUEUED_TIMEOUT_S: Final = 0.7
 # Share of the remaining time that a whole answer may take at the first
 # endpoint, where another may still be tried.
-FIRST_TRY_SHARE: Final = 0.45
+FIRST_ATTEMPT_SHARE: Final = 0.45
 
 
-def extended_s(
+def extended_deadline_s(
     book: EndpointBook,
     place: Place,
-    silence_s: float,
+    silence_timeout_s: float,
     now_s: float,
 ) -> float:
     """Return until when a silent request may wait on, 0 for no longer.
 
     An endpoint that serves others meanwhile is not dark but busy.
     """
-    if book.sent_since(place.endpoint.endpoint_id, now_s - silence_s):
-        return place.taken_s + QUEUED_SILENCE_S
+    if book.sent_since(place.endpoint.endpoint_id, now_s - silence_timeout_s):
+        return place.taken_s + QUEUED_TIMEOUT_S
     return 0.0
 
 
-def first_event_s(route: Route, place: Place) -> float:
+def first_event_timeout_s(route: Route, place: Place) -> float:
     """Return how long the first event of a run may take."""
     if place.queued:
-        return QUEUED_SILENCE_S
-    return max(MIN_SILENCE_S, FIRST_EVENT_SHARE * route.target_s)
+        return QUEUED_TIMEOUT_S
+    return max(MIN_EVENT_TIMEOUT_S, FIRST_EVENT_SHARE * route.target_s)
 
 
-def next_event_s(route: Route) -> float:
+def next_event_timeout_s(route: Route) -> float:
     """Return how long a pause between events may be."""
-    return max(MIN_SILENCE_S, NEXT_EVENT_SHARE * route.max_gap_s)
+    return max(MIN_EVENT_TIMEOUT_S, NEXT_EVENT_SHARE * route.max_gap_s)
 
 
-def first_head_s(
+def head_deadline_s(
     request: OnlineRequest,
     place: Place,
     attempts: int,
@@ -63,5 +63,5 @@
     if not route.idempotent or attempts >= route.max_attempts:
         return limit_s
     if route.kind == 'stream':
-        return min(limit_s, now_s + first_event_s(route, place))
-    return now_s + (limit_s - now_s) * FIRST_TRY_SHARE
+        return min(limit_s, now_s + first_event_timeout_s(route, place))
+    return now_s + (limit_s - now_s) * FIRST_ATTEMPT_SHARE
--- a/tests/test_gateway_attempts.py
+++ b/tests/test_gateway_attempts.py
@@ -26,8 +26,8 @@
     RelayContext,
 )
 from quetzaldyke.gateway.relay import relay
-from quetzaldyke.gateway.retries import may_not_retry
-from quetzaldyke.gateway.stalls import QUEUED_SILENCE_S, extended_s
+from quetzaldyke.gateway.retries import final_failure
+from quetzaldyke.gateway.stalls import QUEUED_TIMEOUT_S, extended_deadline_s
 
 pytestmark = pytest.mark.anyio
 
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True)
-class Bed:
+class AttemptHarness:
     """One attempt at endpoint `e1` of a fake fleet."""
 
     time: FakeTime
@@ -70,7 +70,7 @@
     attempt: Attempt
 
     @classmethod
-    def of(cls, route: Route) -> Bed:
+    def of(cls, route: Route) -> AttemptHarness:
         """Return an attempt that has not been sent."""
         time = FakeTime()
         dispatcher = make_dispatcher(time, make_endpoint('e1'))
@@ -117,68 +117,68 @@
 
 async def test_time_out_of_a_request_does_not_blame_the_endpoint() -> None:
     """Guards against endpoints ejected by requests with little time."""
-    bed = Bed.of(make_route('idempotent'))
-    bed.attempt.progress.attempts = 2
-    await bed.attempt.take_error(ResponseHead(504, []), b'')
-    assert not bed.ejected()
+    harness = AttemptHarness.of(make_route('idempotent'))
+    harness.attempt.progress.attempts = 2
+    await harness.attempt.handle_error_response(ResponseHead(504, []), b'')
+    assert not harness.ejected()
 
 
 async def test_fault_blames_the_endpoint() -> None:
     """Guards against endpoints that fail and keep their full share."""
-    bed = Bed.of(make_route('idempotent'))
-    bed.attempt.progress.attempts = 2
-    await bed.attempt.take_error(ResponseHead(500, []), b'')
-    assert bed.ejected()
+    harness = AttemptHarness.of(make_route('idempotent'))
+    harness.attempt.progress.attempts = 2
+    await harness.attempt.handle_error_response(ResponseHead(500, []), b'')
+    assert harness.ejected()
 
 
 def test_busy_endpoint_is_not_eject() -> None:
     """Guards against a burst that ejects every full engine."""
-    bed = Bed.of(make_route())
-    bed.time.now_s += 0.2
-    bed.dispatcher.book.note_bytes('e1', bed.time.now_s - 0.05)
-    bed.attempt.note_failure(ExchangeError(Failure.STALLED))
-    assert not bed.ejected()
+    harness = AttemptHarness.of(make_route())
+    harness.time.now_s += 0.2
+    harness.dispatcher.book.note_bytes('e1', harness.time.now_s - 0.05)
+    harness.attempt.note_failure(ExchangeError(Failure.STALLED))
+    assert not harness.ejected()
 
 
 def test_one_lost_answer_does_not_eject_a_serving_endpoint() -> None:
     """Guards against single resets that take whole engines out of use."""
-    bed = Bed.of(make_route())
-    bed.dispatcher.book.note_bytes('e1', bed.time.now_s - 0.05)
-    bed.attempt.note_failure(ExchangeError(Failure.BROKEN))
-    assert not bed.ejected()
+    harness = AttemptHarness.of(make_route())
+    harness.dispatcher.book.note_bytes('e1', harness.time.now_s - 0.05)
+    harness.attempt.note_failure(ExchangeError(Failure.BROKEN))
+    assert not harness.ejected()
 
 
 def test_many_lost_answers_eject_a_serving_endpoint() -> None:
     """Guards against endpoints that fail a large share of their requests."""
-    bed = Bed.of(make_route())
+    harness = AttemptHarness.of(make_route())
     for _ in range(5):
-        bed.dispatcher.book.note_bytes('e1', bed.time.now_s)
-        bed.attempt.note_failure(ExchangeError(Failure.BROKEN))
-    assert bed.ejected()
+        harness.dispatcher.book.note_bytes('e1', harness.time.now_s)
+        harness.attempt.note_failure(ExchangeError(Failure.BROKEN))
+    assert harness.ejected()
 
 
 def test_dark_endpoint_is_eject() -> None:
     """Guards against a dark engine that keeps getting streams."""
-    bed = Bed.of(make_route())
-    bed.dispatcher.book.note_bytes('e1', bed.time.now_s - 1.0)
-    bed.time.now_s += 0.2
-    bed.attempt.note_failure(ExchangeError(Failure.STALLED))
-    assert bed.ejected()
+    harness = AttemptHarness.of(make_route())
+    harness.dispatcher.book.note_bytes('e1', harness.time.now_s - 1.0)
+    harness.time.now_s += 0.2
+    harness.attempt.note_failure(ExchangeError(Failure.STALLED))
+    assert harness.ejected()
 
 
 def test_wait_at_a_busy_endpoint_is_extended_once() -> None:
     """Guards against streams that lose their place in a busy engine."""
-    bed = Bed.of(make_route())
-    place = bed.attempt.place
-    now_s = bed.time.now_s + 0.2
-    book = bed.dispatcher.book
-    assert extended_s(book, place, 0.15, now_s) == 0.0
+    harness = AttemptHarness.of(make_route())
+    place = harness.attempt.place
+    now_s = harness.time.now_s + 0.2
+    book = harness.dispatcher.book
+    assert extended_deadline_s(book, place, 0.15, now_s) == 0.0
     book.note_bytes('e1', now_s - 0.1)
-    until_s = extended_s(book, place, 0.15, now_s)
-    assert until_s == place.taken_s + QUEUED_SILENCE_S
+    until_s = extended_deadline_s(book, place, 0.15, now_s)
+    assert until_s == place.taken_s + QUEUED_TIMEOUT_S
     exchange = Exchange(expires_at_s=now_s, extend=lambda now: until_s)
-    assert not exchange.check_time(now_s + 0.01)
-    assert exchange.check_time(until_s + 0.01)
+    assert not exchange.check_timeout(now_s + 0.01)
+    assert exchange.check_timeout(until_s + 0.01)
 
 
 @pytest.mark.parametrize(
@@ -201,9 +201,11 @@
     may_retry: bool,
 ) -> None:
     """Guards against a second run of a request that may run once."""
-    bed = Bed.of(route)
+    harness = AttemptHarness.of(route)
     progress = Progress(attempts=attempts, sends=sends)
-    final = may_not_retry(bed.attempt.context, bed.attempt.request, progress)
+    final = final_failure(
+        harness.attempt.context, harness.attempt.request, progress
+    )
     assert (final is None) is may_retry
     if not may_retry and final is not None:
         assert (final[0] == 503) is (attempts == 0)
@@ -211,11 +213,11 @@
 
 async def test_request_that_crashes_endpoints_is_refused() -> None:
     """Guards against a request that takes one endpoint down after another."""
-    bed = Bed.of(make_route())
-    context = bed.attempt.context
-    request = bed.attempt.request
+    harness = AttemptHarness.of(make_route())
+    context = harness.attempt.context
+    request = harness.attempt.request
     for endpoint_id in ('a', 'b', 'c'):
-        context.crashes.note(request.fingerprint(), endpoint_id)
+        context.crashes.note_crash(request.fingerprint(), endpoint_id)
     caller = FakeCaller()
     outcome = await relay(context, request, caller, Progress())
     assert (caller.status, outcome.reason) == (503, 'crashes_endpoints')
@@ -223,28 +225,28 @@
 
 async def test_request_that_was_served_is_no_suspect() -> None:
     """Guards against refusing what only ran beside a crashing request."""
-    bed = Bed.of(make_route())
-    crashes = bed.attempt.context.crashes
-    fingerprint = bed.attempt.request.fingerprint()
+    harness = AttemptHarness.of(make_route())
+    crashes = harness.attempt.context.crashes
+    fingerprint = harness.attempt.request.fingerprint()
     for endpoint_id in ('a', 'b'):
-        crashes.note(fingerprint, endpoint_id)
-    bed.attempt.note_served()
-    crashes.note(fingerprint, 'c')
+        crashes.note_crash(fingerprint, endpoint_id)
+    harness.attempt.note_served()
+    crashes.note_crash(fingerprint, 'c')
     assert not crashes.is_suspect(fingerprint)
 
 
 async def test_expired_request_gets_its_final_answer() -> None:
     """Guards against callers that are held after their time is over."""
-    bed = Bed.of(make_route('idempotent'))
+    harness = AttemptHarness.of(make_route('idempotent'))
     request = replace(
-        bed.attempt.request,
-        deadline_s=bed.time.now_s - 1,
+        harness.attempt.request,
+        deadline_s=harness.time.now_s - 1,
     )
-    bed.dispatcher.release(bed.attempt.place)
+    harness.dispatcher.release(harness.attempt.place)
     caller = FakeCaller()
     with anyio.fail_after(2):
         outcome = await relay(
-            bed.attempt.context,
+            harness.attempt.context,
             request,
             caller,
             Progress(),
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -72,7 +72,7 @@
         assert await ask(client, port) == (200, b'ok')
         await asyncio.sleep(0)
         assert await ask(client, port) == (200, b'ok')
-    assert client.opened == 1
+    assert client.connections_opened == 1
 
 
 @pytest.mark.parametrize(
