--- a/src/quetzaldyke/gateway/attempt.py
+++ b/src/quetzaldyke/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to have an endpoint serve an online request."""
+"""Sends an online request to one endpoint and handles the response."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
 from quetzaldyke.platform import names
 
 MS_IN_S: Final = 1000
-# An idle connection may have been dropped without notice; a request that
-# may run once goes on one only if it was used this recently.
+# The peer may have dropped an idle connection without notice. A request that
+# is not idempotent therefore reuses only a connection idle for less than this.
 NON_IDEMPOTENT_MAX_IDLE_S: Final = 0.5
 IDEMPOTENT_MAX_IDLE_S: Final = 4.0
-# An endpoint that sent something this lately serves; a crash is noticed by
-# the next connection.
+# An endpoint that sent bytes this recently counts as serving and is not
+# ejected for a broken connection. If it did crash, the next connection fails.
 RECENTLY_SERVING_S: Final = 0.2
 STATUS_OK: Final = 200
 FIRST_ERROR_STATUS: Final = 400
@@ -61,7 +61,7 @@
         b'expect',
     ),
 )
-# Set anew for each attempt.
+# Set by each attempt; the caller's values are dropped.
 REPLACED_HEADERS: Final = frozenset(
     (
         names.DEADLINE,
@@ -70,13 +70,14 @@
         b'content-length',
     ),
 )
-# Told to this process, or written anew by its server.
+# The load report is for the gateway only; the content length is computed
+# again from the body.
 INTERNAL_HEADERS: Final = frozenset((names.LOAD, b'content-length'))
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One send of a request and what comes back."""
+    """One attempt to serve a request at one endpoint."""
 
     context: RelayContext
     request: OnlineRequest
@@ -87,11 +88,16 @@
 
     @property
     def endpoint_id(self) -> str:
-        """Return the id of the endpoint."""
+        """Return the id of the endpoint that serves this attempt."""
         return self.place.endpoint.endpoint_id
 
     async def run(self) -> Outcome | None:
-        """Serve the request; None when it has to go elsewhere."""
+        """Send the request and forward the response.
+
+        Returns None if the attempt failed and the caller has no final
+        response yet. Raises `IncompleteResponseError` when a started
+        response can't be completed.
+        """
         try:
             head = await self.send()
             if is_not_run(head):
@@ -105,7 +111,10 @@
             self.exchange.cancel()
 
     async def send(self) -> ResponseHead:
-        """Send the request and return the head of its answer."""
+        """Send the request and return the head of the response.
+
+        Raises `ExchangeError` if it can't be sent or no head arrives.
+        """
         endpoint = self.place.endpoint
         idempotent = self.request.route.idempotent
         await self.context.client.start(
@@ -128,7 +137,7 @@
         return await self.exchange.read_head()
 
     def extend_first_event_wait(self, now_s: float) -> float:
-        """Return until when the first event may take, 0 for no longer."""
+        """Return a later deadline for the first event, or 0 for none."""
         if self.progress.event_chunks or now_s >= self.request.deadline_s:
             return 0.0
         silence_timeout_s = first_event_timeout_s(
@@ -138,16 +147,18 @@
         return extended_deadline_s(book, self.place, silence_timeout_s, now_s)
 
     def encode(self) -> bytes:
-        """Return the request as the endpoint gets it."""
+        """Return the bytes of the request that is sent to the endpoint."""
         request = self.request
-        left_s = request.deadline_s - self.context.now()
+        remaining_s = request.deadline_s - self.context.now()
         headers = [
-            pair
-            for pair in request.headers
-            if pair[0] not in HOP_BY_HOP_HEADERS
-            and pair[0] not in REPLACED_HEADERS
+            header
+            for header in request.headers
+            if header[0] not in HOP_BY_HOP_HEADERS
+            and header[0] not in REPLACED_HEADERS
         ]
-        headers.append((names.DEADLINE, b'%d' % max(1, int(left_s * MS_IN_S))))
+        headers.append(
+            (names.DEADLINE, b'%d' % max(1, int(remaining_s * MS_IN_S)))
+        )
         headers.append((names.EXPECTED_ENDPOINT, self.endpoint_id.encode()))
         last_event = self.progress.splitter.last_id
         if last_event is not None:
@@ -160,7 +171,7 @@
         )
 
     def note_not_run(self, head: ResponseHead) -> None:
-        """Remember an endpoint that turned the request away."""
+        """Record that the endpoint rejected the request without running it."""
         self.progress.attempts -= 1
         self.progress.tried_endpoints.add(self.endpoint_id)
         self.progress.last_failure = f'endpoint_refused_{head.status}'
@@ -170,7 +181,7 @@
         self.log_attempt('attempt_not_run', f'status {head.status}', ejected_s)
 
     def note_failure(self, exc: ExchangeError) -> None:
-        """Remember a failed exchange and what it says of the endpoint."""
+        """Record a failed exchange, a possible crash and the ejection."""
         self.progress.tried_endpoints.add(self.endpoint_id)
         self.progress.last_failure = exc.failure.value
         if exc.failure is Failure.BROKEN:
@@ -183,12 +194,17 @@
         )
 
     def note_served(self) -> None:
-        """Remember that the endpoint ran the request to its end."""
+        """Record a success, which also clears the request of crashes."""
         self.context.dispatcher.book.note_success(self.endpoint_id)
         self.context.crashes.note_served(self.request.fingerprint())
 
     def eject_unless_serving(self, exc: ExchangeError) -> float:
-        """Eject the endpoint unless it has just served others."""
+        """Eject the endpoint after a failure unless it is still serving.
+
+        A stalled or broken exchange at an endpoint that still sends bytes to
+        others counts as a lost response, which ejects it only if many are
+        lost. Returns the ejection time in seconds, 0 for none.
+        """
         book = self.context.dispatcher.book
         now_s = self.context.now()
         if exc.failure is Failure.STALLED:
@@ -202,14 +218,14 @@
         return self.eject()
 
     def eject(self) -> float:
-        """Give the endpoint a pause; return for how long."""
+        """Eject the endpoint; return for how many seconds."""
         return self.context.dispatcher.book.note_failure(
             self.endpoint_id,
             self.context.now(),
         )
 
     def log_attempt(self, event: str, failure: str, ejected_s: float) -> None:
-        """Log what became of this attempt."""
+        """Log the failure of this attempt."""
         self.context.log_event(
             event,
             request=self.request.request_id.decode('latin-1'),
@@ -225,10 +241,16 @@
         )
 
     async def handle_response(self, head: ResponseHead) -> Outcome | None:
-        """Pass an answer on to the caller."""
+        """Forward a response to the caller.
+
+        Returns None if the request is to be retried. Raises `ExchangeError`
+        if the response is invalid or breaks off.
+        """
         signed = head.get(names.SIGNATURE) is not None
         if head.status < FIRST_ERROR_STATUS and not signed:
-            raise ExchangeError(Failure.MALFORMED, 'no signature')
+            raise ExchangeError(
+                Failure.MALFORMED, 'response has no signature header'
+            )
         if self.request.route.kind == 'stream' and head.status == STATUS_OK:
             return await self.forward_stream(head)
         self.exchange.expires_at_s = self.request.deadline_s
@@ -236,7 +258,10 @@
         if head.status >= FIRST_ERROR_STATUS:
             return await self.handle_error_response(head, body)
         if self.progress.response_started:
-            raise ExchangeError(Failure.MALFORMED, f'status {head.status}')
+            raise ExchangeError(
+                Failure.MALFORMED,
+                f'status {head.status} for a resumed stream',
+            )
         self.note_served()
         return await self.forward_body(head, body, 'served')
 
@@ -245,12 +270,17 @@
         head: ResponseHead,
         body: bytes,
     ) -> Outcome | None:
-        """Try another endpoint after a fault if that is allowed."""
+        """Forward an error response, or return None to retry elsewhere.
+
+        A server error is retried if the route allows it. Raises
+        `IncompleteResponseError` if a stream has already been started.
+        """
         progress = self.progress
         progress.tried_endpoints.add(self.endpoint_id)
         progress.last_failure = f'endpoint_status_{head.status}'
         if head.status >= FIRST_SERVER_ERROR_STATUS:
-            # A request that ran out of time says nothing of the endpoint.
+            # A timeout can be due to the request's own deadline, so it does
+            # not show a fault of the endpoint.
             timed_out = head.status == STATUS_TIMEOUT
             ejected_s = 0.0 if timed_out else self.eject()
             self.log_attempt(
@@ -269,14 +299,18 @@
         body: bytes,
         reason: str,
     ) -> Outcome:
-        """Send a whole answer."""
+        """Send a response with its whole body to the caller."""
         await send_response(
             self.caller, head.status, body, end_to_end_headers(head)
         )
         return Outcome(head.status, reason)
 
     async def forward_stream(self, head: ResponseHead) -> Outcome:
-        """Pass a stream on, event by event."""
+        """Forward a stream of events to the caller.
+
+        Raises `ExchangeError` if the stream breaks off, stalls or ends within
+        an event.
+        """
         self.progress.splitter.restart()
         if not self.progress.response_started:
             self.progress.response_started = True
@@ -289,23 +323,27 @@
         while more_events:
             more_events = await self.forward_events(may_resume=may_resume)
         if self.progress.splitter.partial:
-            raise ExchangeError(Failure.BROKEN, 'ended inside an event')
+            raise ExchangeError(Failure.BROKEN, 'stream ended within an event')
         self.note_served()
         await self.caller.finish()
         return Outcome(head.status, 'served')
 
     async def forward_events(self, *, may_resume: bool) -> bool:
-        """Pass the next events on; False at the end of the stream."""
+        """Forward the next whole events; return False at the stream's end.
+
+        Pauses have a timeout only if the stream may still be resumed at
+        another endpoint; otherwise only the deadline ends the wait.
+        """
         now_s = self.context.now()
         route = self.request.route
-        limit_s = self.request.deadline_s
+        deadline_s = self.request.deadline_s
         if may_resume and self.progress.event_chunks:
-            limit_s = min(limit_s, now_s + next_event_timeout_s(route))
+            deadline_s = min(deadline_s, now_s + next_event_timeout_s(route))
         elif may_resume:
-            limit_s = min(
-                limit_s, now_s + first_event_timeout_s(route, self.place)
+            deadline_s = min(
+                deadline_s, now_s + first_event_timeout_s(route, self.place)
             )
-        self.exchange.expires_at_s = limit_s
+        self.exchange.expires_at_s = deadline_s
         chunk = await self.exchange.read_chunk()
         if not chunk:
             return False
@@ -322,9 +360,10 @@
 
 
 def end_to_end_headers(head: ResponseHead) -> Headers:
-    """Return the headers that concern the caller."""
+    """Return the headers of a response that are forwarded to the caller."""
     return [
-        pair
-        for pair in head.headers
-        if pair[0] not in HOP_BY_HOP_HEADERS and pair[0] not in INTERNAL_HEADERS
+        header
+        for header in head.headers
+        if header[0] not in HOP_BY_HOP_HEADERS
+        and header[0] not in INTERNAL_HEADERS
     ]
--- a/src/quetzaldyke/gateway/crashes.py
+++ b/src/quetzaldyke/gateway/crashes.py
@@ -1,10 +1,9 @@
-"""Requests that broke every endpoint that ran them.
+"""Tracks requests that crash the endpoints that run them.
 
-Load pattern: a single request crashes each endpoint that begins to run it,
-and its caller sends it again, to any entry. After it has broken three
-endpoints it is refused everywhere, so that it can't take the whole service
-down. A request that was merely running beside such a one is cleared when it
-is served.
+A single request can crash each endpoint that starts to run it, while its
+caller retries it at any entry. After it has crashed three endpoints, all
+entries refuse it, so that it can't take down the whole service. A request that
+only ran concurrently with such a request is cleared when it is served.
 """
 
 from __future__ import annotations
@@ -23,18 +22,18 @@
 
 MIN_CRASHED_ENDPOINTS: Final = 3
 CRASH_RETENTION_MS: Final = 300_000
-# The oldest fingerprints are dropped beyond this.
+# Bounds the memory; the oldest fingerprints are dropped first.
 MAX_FINGERPRINTS: Final = 5_000
 
 
 def make_suspect_book() -> SuspectBook:
-    """Return an empty book of crashes."""
+    """Return an empty table of suspects with this module's retention."""
     return SuspectBook(kept_ms=CRASH_RETENTION_MS)
 
 
 @dataclass(slots=True)
 class CrashTracker:
-    """Endpoints that broke while they ran a request, by fingerprint.
+    """Crashes by request fingerprint, shared by all entries.
 
     >>> tracker = CrashTracker(now_ms=lambda: 1000)
     >>> for endpoint_id in ('a', 'b', 'b'):
@@ -47,14 +46,14 @@
     """
 
     now_ms: Callable[[], int] = wall_clock_ms
-    # Tells the other entries what is new: crashes, and those cleared.
-    broadcast: Callable[[CrashTable, CrashTable], None] = lambda *news: None
+    # Sends new crashes and newly cleared ones to the other entries.
+    broadcast: Callable[[CrashTable, CrashTable], None] = lambda *tables: None
     suspects: SuspectBook = field(default_factory=make_suspect_book)
-    # Numbers the crashes that this entry saw.
+    # Crashes seen by this entry; makes the crash ids unique.
     crash_count: int = 0
 
     def note_crash(self, fingerprint: str, endpoint_id: str) -> None:
-        """An endpoint broke off while it ran a request."""
+        """Record a connection that broke during a request as a crash."""
         now_ms = self.now_ms()
         self.crash_count += 1
         crash_id = make_crash_id(
@@ -66,28 +65,28 @@
         self.drop_oldest()
 
     def note_served(self, fingerprint: str) -> None:
-        """An endpoint ran a request to its end."""
+        """Clear a request of its crashes, as an endpoint has served it."""
         cleared = self.suspects.clear(fingerprint)
         if cleared:
             self.broadcast({}, cleared)
 
     def merge(self, crashes: CrashTable, cleared: CrashTable) -> None:
-        """Take over what another entry saw."""
+        """Merge the records of another entry."""
         self.suspects.merge(crashes, cleared, self.now_ms())
         self.drop_oldest()
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Tell whether a request broke too many endpoints lately."""
+        """Tell whether a request has recently crashed too many endpoints."""
         crash_ids = self.suspects.open_crashes(fingerprint)
-        crashed = {crash_origin(one) for one in crash_ids}
+        crashed = {crash_origin(crash_id) for crash_id in crash_ids}
         return len(crashed) >= MIN_CRASHED_ENDPOINTS
 
     def forget_old(self) -> None:
-        """Drop what is too old to count."""
+        """Drop crashes that are past their retention."""
         self.suspects.forget_old(self.now_ms())
 
     def drop_oldest(self) -> None:
-        """Drop the oldest fingerprints beyond the limit."""
+        """Drop the oldest fingerprints above the maximum."""
         for table in (self.suspects.crashes, self.suspects.cleared):
             while len(table) > MAX_FINGERPRINTS:
                 del table[next(iter(table))]
--- a/src/quetzaldyke/gateway/event_stream.py
+++ b/src/quetzaldyke/gateway/event_stream.py
@@ -1,7 +1,7 @@
-"""Splits a server-sent event stream into whole events.
+"""Splits a stream of server-sent events into whole events.
 
-Only whole events may reach a caller, because a stream that goes on at
-another endpoint starts with the event after the last whole one.
+Only whole events are forwarded to a caller, because a stream that is resumed
+at another endpoint starts with the event after the last whole one.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 class StreamOrderError(Exception):
-    """An event is missing or the stream starts at the wrong one."""
+    """The id of an event does not follow that of the previous event."""
 
 
 @dataclass(slots=True)
 class EventSplitter:
-    r"""Whole events of one stream that may span several runs.
+    r"""Splits one stream, which may be resumed, into whole events.
 
     >>> splitter = EventSplitter()
     >>> splitter.feed(b'id: 1\ndata: a\n\nid: 2\nda')
@@ -33,43 +33,51 @@
     b'id: 2\ndata: b\n\n'
     """
 
-    # Number of the last whole event; None before the first.
+    # Id of the last whole event; None before the first.
     last_id: int | None = None
     partial: bytes = b''
 
     def restart(self) -> None:
-        """Drop the cut event; the next run begins after the last whole one."""
+        """Drop a partial event before the stream is resumed."""
         self.partial = b''
 
     def feed(self, chunk: bytes) -> bytes:
-        """Return the whole events that a chunk completes."""
-        text = self.partial + chunk if self.partial else chunk
-        end = text.rfind(EVENT_END)
+        """Add a chunk and return all events that are now whole.
+
+        Raises `StreamOrderError` if the event ids are not consecutive.
+        """
+        buffered = self.partial + chunk if self.partial else chunk
+        end = buffered.rfind(EVENT_END)
         if end < 0:
-            self.partial = text
+            self.partial = buffered
             return b''
         end += len(EVENT_END)
-        whole, self.partial = text[:end], text[end:]
+        whole, self.partial = buffered[:end], buffered[end:]
         for match in EVENT_ID.finditer(whole):
-            self.check_order(int(match.group(1)))
+            self.accept_event_id(int(match.group(1)))
         return whole
 
-    def check_order(self, event_id: int) -> None:
-        """Check that an event follows the one before."""
+    def accept_event_id(self, event_id: int) -> None:
+        """Store the id of an event.
+
+        Raises `StreamOrderError` unless it follows the previous id.
+        """
         if self.last_id is not None and event_id != self.last_id + 1:
-            raise StreamOrderError(f'{event_id} after {self.last_id}')
+            raise StreamOrderError(
+                f'event {event_id} after event {self.last_id}'
+            )
         self.last_id = event_id
 
 
 def event_data(events: bytes) -> list[bytes]:
-    r"""Return the data of each event.
+    r"""Return the data field of each whole event that has one.
 
     >>> event_data(b'id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\n')
     [b'a', b'b\nc']
     """
-    found = []
+    data = []
     for event in events.split(EVENT_END):
         lines = DATA_LINE.findall(event)
         if lines:
-            found.append(b'\n'.join(line.rstrip(b'\r') for line in lines))
-    return found
+            data.append(b'\n'.join(line.rstrip(b'\r') for line in lines))
+    return data
--- a/src/quetzaldyke/gateway/exchange.py
+++ b/src/quetzaldyke/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""One request on a connection and its answer as it arrives."""
+"""An HTTP request on a connection and the response as it arrives."""
 
 from __future__ import annotations
 
@@ -10,49 +10,49 @@
 from typing import Protocol
 
 
-class AbortableConnection(Protocol):
-    """The connection that carries an exchange."""
+class ConnectionControl(Protocol):
+    """What an exchange needs of the connection that carries it."""
 
     def abort(self) -> None:
-        """Break the connection at once."""
+        """Close the connection immediately."""
 
     def resume_reading(self) -> None:
-        """Read again after the reader has caught up."""
+        """Resume reading after the buffered body has been consumed."""
 
 
 class Failure(Enum):
-    """How an exchange failed."""
+    """Why an exchange failed."""
 
-    # No connection: the request was certainly not sent.
+    # No connection could be opened: the request was certainly not sent.
     NOT_CONNECTED = 'not_connected'
-    # Reset or closed before the whole answer came.
+    # The connection was reset or closed before the response was complete.
     BROKEN = 'broken'
-    # The bytes are no answer.
+    # The peer sent an invalid response.
     MALFORMED = 'malformed'
-    # Nothing came within the time allowed.
+    # The timeout expired before the next bytes arrived.
     STALLED = 'stalled'
-    # Given up by this process.
+    # This process cancelled the exchange.
     CANCELLED = 'cancelled'
 
 
 class ExchangeError(Exception):
-    """An exchange ended without a whole answer."""
+    """An exchange ended without a complete response."""
 
     def __init__(self, failure: Failure, detail: str = '') -> None:
-        """Keep how it failed."""
+        """Store the kind of failure; the detail goes into the message."""
         super().__init__(f'{failure.value} {detail}'.strip())
         self.failure = failure
 
 
 @dataclass(slots=True)
 class ResponseHead:
-    """Status and headers of an answer; names are in lower case."""
+    """Status and headers of a response; header names are in lower case."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
 
     def get(self, name: bytes) -> bytes | None:
-        """Return the first header of that name."""
+        """Return the first header of that name, or None."""
         for known, content in self.headers:
             if known == name:
                 return content
@@ -61,9 +61,10 @@
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """One request and its answer as it arrives."""
+    """The state of one request and its response."""
 
-    # Header that the answer must repeat; other answers are skipped.
+    # Header that echoes the request id, and the value expected in it; a
+    # response with another value is skipped.
     echo_header: bytes = b''
     expected_echo: bytes = b''
     head: ResponseHead | None = None
@@ -72,20 +73,23 @@
     failure: Failure | None = None
     detail: str = ''
     waiter: asyncio.Future[None] | None = None
-    connection: AbortableConnection | None = None
+    connection: ConnectionControl | None = None
     unread_bytes: int = 0
-    # Monotonic time at which the watchdog ends the wait; 0 for never.
+    # Monotonic time at which the watchdog cancels the exchange; 0 for never.
     expires_at_s: float = 0.0
-    # Asked at that time for a later one; 0 ends the wait.
+    # Called on expiry; returns a later expiry time, or 0 to cancel.
     extend: Callable[[float], float] | None = None
 
     def wake(self) -> None:
-        """Let the reader look again."""
+        """Wake the task that waits for the response."""
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_result(None)
 
     def fail(self, failure: Failure, detail: str = '') -> None:
-        """End the exchange; what has arrived can still be read."""
+        """Mark the exchange as failed unless it has already ended.
+
+        Chunks that have arrived can still be read.
+        """
         if self.complete or self.failure is not None:
             return
         self.failure = failure
@@ -93,7 +97,7 @@
         self.wake()
 
     async def wait(self) -> None:
-        """Wait for the next arrival."""
+        """Wait until more of the response arrives or the exchange ends."""
         self.waiter = asyncio.get_running_loop().create_future()
         try:
             await self.waiter
@@ -101,7 +105,10 @@
             self.waiter = None
 
     async def read_head(self) -> ResponseHead:
-        """Return the head of the answer."""
+        """Return the head of the response.
+
+        Raises `ExchangeError` if the exchange fails first.
+        """
         while self.head is None:
             if self.failure is not None:
                 raise ExchangeError(self.failure, self.detail)
@@ -109,7 +116,10 @@
         return self.head
 
     async def read_chunk(self) -> bytes:
-        """Return the next bytes of the body; none at its end."""
+        """Return the next chunk of the body, or no bytes at its end.
+
+        Raises `ExchangeError` if the exchange fails first.
+        """
         while not self.chunks:
             if self.complete:
                 return b''
@@ -123,14 +133,17 @@
         return chunk
 
     async def read_body(self) -> bytes:
-        """Return the whole body."""
+        """Return the whole body; raises `ExchangeError` if it breaks off."""
         body = bytearray()
         while chunk := await self.read_chunk():
             body += chunk
         return bytes(body)
 
     def check_timeout(self, now_s: float) -> bool:
-        """End the wait if its time is over; tell whether it was ended."""
+        """Cancel the exchange if it has expired and is not extended.
+
+        Returns whether it was cancelled.
+        """
         if not self.expires_at_s or now_s <= self.expires_at_s:
             return False
         later_s = self.extend(now_s) if self.extend is not None else 0.0
@@ -141,7 +154,7 @@
         return True
 
     def cancel(self, failure: Failure = Failure.CANCELLED) -> None:
-        """Break the connection unless the answer is complete."""
+        """Fail the exchange and abort its connection, unless complete."""
         if self.connection is not None and not self.complete:
             self.connection.abort()
         self.fail(failure)
--- a/src/quetzaldyke/gateway/http_client.py
+++ b/src/quetzaldyke/gateway/http_client.py
@@ -1,9 +1,10 @@
-"""HTTP/1.1 connections to endpoints and to the store.
+"""HTTP/1.1 client with connection pools for endpoints and the store.
 
-httpcore neither tells an answer that comes on an idle connection nor bytes
-that follow a complete answer, and both must end a connection's reuse here:
-the next answer on it could belong to another request. This client parses
-with httptools, as uvicorn does, and reports exactly how an exchange ended.
+httpcore reports neither a response that arrives on an idle connection nor
+bytes that follow a complete response. Either must end the reuse of the
+connection, because its next response could belong to another request. This
+client parses with httptools, as uvicorn does, and reports exactly how an
+exchange ended.
 """
 
 from __future__ import annotations
@@ -23,22 +24,23 @@
     ResponseHead,
 )
 
-# An opening packet that is dropped is sent again only after a second.
+# Below the one second after which TCP retransmits a lost SYN.
 CONNECT_TIMEOUT_S: Final = 0.4
-# Used when the peer does not say for how long it keeps idle connections.
+# Assumed if the response has no Keep-Alive timeout.
 DEFAULT_KEEP_ALIVE_S: Final = 4.0
-# The peer may close a little before the time that it states.
+# Share of the Keep-Alive timeout for which an idle connection is reused; the
+# peer may close it a little before the stated time.
 KEEP_ALIVE_SHARE: Final = 0.6
 FIRST_FINAL_STATUS: Final = 200
-# Reading pauses above this many bytes that the reader has not taken.
+# Reading is paused while more body bytes than this are unread.
 MAX_UNREAD_BYTES: Final = 262_144
 
 
 class Connection(asyncio.Protocol):
-    """One connection; it carries one exchange at a time."""
+    """A client connection that carries one exchange at a time."""
 
     def __init__(self, on_idle: Callable[[Connection], None]) -> None:
-        """Create a connection that is not yet open."""
+        """Create a connection; on_idle gets it when it can be reused."""
         self.on_idle = on_idle
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
@@ -54,11 +56,11 @@
         self.idle_since_s = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport of the open connection."""
         self.transport = cast('asyncio.Transport', transport)
 
     def send(self, exchange: Exchange, request: bytes) -> None:
-        """Send a request whose answer goes to the exchange."""
+        """Send a request; the response goes to the exchange."""
         assert self.transport is not None
         self.exchange = exchange
         self.response_complete = False
@@ -66,9 +68,10 @@
         self.transport.write(request)
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes of an answer."""
+        """Parse response bytes; abort on bytes that nothing asked for."""
         if self.exchange is None:
-            # An answer to nothing; a later request could take it for its own.
+            # An unsolicited response: the next request on this connection
+            # could mistake it for its own.
             self.abort()
             return
         try:
@@ -77,11 +80,14 @@
             self.fail(Failure.MALFORMED, repr(exc))
 
     def eof_received(self) -> bool:
-        """Close as soon as the peer does."""
+        """Let the transport close when the peer closes."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the exchange; a body without a length ends with a clean close."""
+        """End the exchange; it fails unless a clean close ends the body.
+
+        A response without a length or transfer encoding ends at the close.
+        """
         self.closed = True
         exchange = self.exchange
         if exchange is None:
@@ -94,17 +100,20 @@
         exchange.fail(Failure.BROKEN, repr(exc))
 
     def on_message_begin(self) -> None:
-        """Start an answer; one after our answer ends the connection."""
+        """Start a response; an extra one ends the connection's reuse."""
         self.headers = []
         if self.response_complete:
             self.reusable = False
 
     def on_header(self, name: bytes, content: bytes) -> None:
-        """Collect a header."""
+        """Store a header of the current response."""
         self.headers.append((name.lower(), content))
 
     def on_headers_complete(self) -> None:
-        """Hand over the head if the answer is for our request."""
+        """Pass the head to the exchange if it belongs to its request.
+
+        Interim responses and those to other requests are skipped.
+        """
         exchange = self.exchange
         status = self.parser.get_status_code()
         if exchange is None or self.response_complete:
@@ -124,7 +133,7 @@
         exchange.wake()
 
     def read_keep_alive(self, head: ResponseHead) -> None:
-        """Note whether and for how long the peer keeps the connection."""
+        """Read whether and for how long the connection may be reused."""
         connection = head.get(b'connection')
         if connection is not None and connection.lower() == b'close':
             self.reusable = False
@@ -134,12 +143,12 @@
         if stated is None:
             return
         for part in stated.split(b','):
-            name, _, amount = part.strip().partition(b'=')
-            if name.lower() == b'timeout' and amount.isdigit():
-                self.keep_alive_s = float(amount)
+            name, _, value = part.strip().partition(b'=')
+            if name.lower() == b'timeout' and value.isdigit():
+                self.keep_alive_s = float(value)
 
     def on_body(self, body: bytes) -> None:
-        """Hand over a part of the body."""
+        """Pass a body chunk to the exchange; pause reading if it lags."""
         exchange = self.exchange
         if exchange is None or self.skipping_response or self.response_complete:
             return
@@ -152,12 +161,12 @@
         exchange.wake()
 
     def on_message_complete(self) -> None:
-        """End the exchange and offer the connection for reuse."""
+        """Complete the exchange and release the connection."""
         exchange = self.exchange
         if exchange is None or self.response_complete:
             return
         if self.skipping_response:
-            # The answer to our request is still due behind this one.
+            # The response to the current request is still to come.
             self.skipping_response = False
             return
         self.response_complete = True
@@ -166,7 +175,11 @@
         asyncio.get_running_loop().call_soon(self.release)
 
     def release(self) -> None:
-        """Keep or close the connection, after all bytes at hand were read."""
+        """Return the connection to the pool, or close it.
+
+        Runs after the received bytes have been parsed, so that an extra
+        response among them is noticed. Unsent request bytes prevent reuse.
+        """
         self.exchange = None
         transport = self.transport
         if self.closed or transport is None:
@@ -180,7 +193,7 @@
         self.on_idle(self)
 
     def resume_reading(self) -> None:
-        """Read again after the reader has caught up."""
+        """Resume reading if it was paused and the connection is open."""
         if (
             self.reading_paused
             and self.transport is not None
@@ -190,7 +203,7 @@
             self.transport.resume_reading()
 
     def fail(self, failure: Failure, detail: str) -> None:
-        """End the exchange and break the connection."""
+        """Fail the exchange and abort the connection."""
         exchange = self.exchange
         self.exchange = None
         self.abort()
@@ -198,14 +211,14 @@
             exchange.fail(failure, detail)
 
     def abort(self) -> None:
-        """Break the connection at once."""
+        """Close the connection immediately."""
         self.closed = True
         if self.transport is not None:
             self.transport.abort()
 
 
 def answers_other_request(exchange: Exchange, head: ResponseHead) -> bool:
-    """Tell whether an answer names another request than ours."""
+    """Tell whether a response echoes the id of another request."""
     if not exchange.echo_header:
         return False
     echoed = head.get(exchange.echo_header)
@@ -214,39 +227,42 @@
 
 @dataclass(slots=True)
 class AddressPool:
-    """Idle connections to one address, latest last."""
+    """Idle connections to one address, the most recently used last."""
 
     host: str
     port: int
     idle: list[Connection] = field(default_factory=list)
 
     def take(self, max_idle_s: float) -> Connection | None:
-        """Return a connection that the peer still keeps, if there is one."""
+        """Remove and return a connection that can be reused, or None.
+
+        Closes the connections that have been idle for too long.
+        """
         now_s = time.monotonic()
         while self.idle:
             connection = self.idle.pop()
-            limit_s = min(
+            idle_limit_s = min(
                 max_idle_s, connection.keep_alive_s * KEEP_ALIVE_SHARE
             )
             if connection.closed:
                 continue
-            if now_s - connection.idle_since_s < limit_s:
+            if now_s - connection.idle_since_s < idle_limit_s:
                 return connection
             connection.abort()
         return None
 
     def add_idle(self, connection: Connection) -> None:
-        """Keep a connection for the next request."""
+        """Add a connection that the next request may reuse."""
         self.idle.append(connection)
 
     def close_expired(self, now_s: float) -> None:
-        """Close the connections that were idle for too long."""
+        """Close the connections that have been idle for too long."""
         kept = []
         for connection in self.idle:
-            limit_s = connection.keep_alive_s * KEEP_ALIVE_SHARE
+            idle_limit_s = connection.keep_alive_s * KEEP_ALIVE_SHARE
             if connection.closed:
                 continue
-            if now_s - connection.idle_since_s < limit_s:
+            if now_s - connection.idle_since_s < idle_limit_s:
                 kept.append(connection)
             else:
                 connection.abort()
@@ -255,14 +271,14 @@
 
 @dataclass(slots=True)
 class HttpClient:
-    """Connections to any number of addresses."""
+    """HTTP client with one connection pool for each address."""
 
     pools: dict[tuple[str, int], AddressPool] = field(default_factory=dict)
     active: set[Exchange] = field(default_factory=set)
     connections_opened: int = 0
 
     def pool(self, host: str, port: int) -> AddressPool:
-        """Return the pool of an address."""
+        """Return the pool of an address, creating it if needed."""
         known = self.pools.get((host, port))
         if known is None:
             known = self.pools[host, port] = AddressPool(host, port)
@@ -273,7 +289,10 @@
         pool: AddressPool,
         timeout_s: float = CONNECT_TIMEOUT_S,
     ) -> Connection:
-        """Open a connection; raises `ExchangeError` NOT_CONNECTED."""
+        """Open a connection.
+
+        Raises `ExchangeError` NOT_CONNECTED on an error or timeout.
+        """
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(timeout_s):
@@ -295,13 +314,16 @@
         exchange: Exchange,
         max_idle_s: float = DEFAULT_KEEP_ALIVE_S,
     ) -> None:
-        """Send a request; raises `ExchangeError` when it was not sent."""
+        """Send a request on a pooled or new connection.
+
+        Raises `ExchangeError` NOT_CONNECTED if it was not sent.
+        """
         pool = self.pool(host, port)
         connection = pool.take(max_idle_s) or await self.connect(pool)
         connection.send(exchange, request)
 
     def cancel_timed_out(self, now_s: float) -> None:
-        """End the exchanges whose peer has been silent for too long."""
+        """Cancel active exchanges that have expired; drop ended ones."""
         for exchange in list(self.active):
             if exchange.complete or exchange.failure is not None:
                 self.active.discard(exchange)
@@ -309,7 +331,7 @@
                 self.active.discard(exchange)
 
     def close_expired(self) -> None:
-        """Close idle connections whose time is over."""
+        """Close expired idle connections and drop empty pools."""
         now_s = time.monotonic()
         for address, pool in list(self.pools.items()):
             pool.close_expired(now_s)
@@ -330,7 +352,9 @@
     headers: list[tuple[bytes, bytes]],
     body: bytes,
 ) -> bytes:
-    """Return the bytes of a request.
+    """Encode an HTTP/1.1 request.
+
+    Content-Length is left out only if a GET, DELETE or HEAD has no body.
 
     >>> encode_request(b'GET', b'/a', [(b'host', b'h')], b'')
     b'GET /a HTTP/1.1\\r\\nhost: h\\r\\n\\r\\n'
--- a/src/quetzaldyke/gateway/incomplete_response.py
+++ b/src/quetzaldyke/gateway/incomplete_response.py
@@ -1,7 +1,7 @@
-"""The error that ends the channel of an answer that can't be completed."""
+"""The error that closes the connection of an incomplete response."""
 
 from __future__ import annotations
 
 
 class IncompleteResponseError(Exception):
-    """An answer that had begun can't be completed; its channel must end."""
+    """A started response can't be completed; its connection must close."""
--- a/src/quetzaldyke/gateway/ingress.py
+++ b/src/quetzaldyke/gateway/ingress.py
@@ -1,4 +1,4 @@
-"""Turns HTTP requests of callers into requests of the project, and back."""
+"""Accepts HTTP requests of callers, validates and routes them."""
 
 from __future__ import annotations
 
@@ -38,15 +38,15 @@
 STATUS_TOO_LARGE: Final = 413
 STATUS_HEADERS_TOO_LARGE: Final = 431
 STATUS_UNAVAILABLE: Final = 503
-NO_CONFIGURATION_RETRY_S: Final = 1.0
+CONFIGURATION_RETRY_S: Final = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedRequest:
-    """One request of a caller, read whole."""
+    """A caller's HTTP request with its whole body."""
 
     method: bytes
-    # Path and query as the caller sent them.
+    # Request target: raw path and query string.
     target: bytes
     path: str
     query: bytes
@@ -55,28 +55,31 @@
     body: bytes
 
     def header(self, name: bytes) -> bytes | None:
-        """Return the first header of that name."""
+        """Return the first header of that name, or None."""
         for known, content in self.headers:
             if known == name:
                 return content
         return None
 
     def number(self, name: bytes) -> int | None:
-        """Return a header that holds a number, or None."""
+        """Return a header as an integer.
+
+        Returns None if it is missing or is not a decimal number.
+        """
         text = self.header(name)
         return int(text) if text is not None and text.isdigit() else None
 
 
 class AsgiCaller:
-    """The caller's side of one request."""
+    """Sends one response to a caller over ASGI."""
 
     def __init__(self, send: Send, *, closing: bool) -> None:
-        """Create a caller that has got nothing yet."""
+        """Wrap an ASGI send; closing ends the connection afterwards."""
         self.asgi_send = send
         self.closing = closing
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Send the head of the answer."""
+        """Send the status and headers of the response."""
         if self.closing:
             headers = [*headers, (b'connection', b'close')]
         await self.asgi_send(
@@ -88,20 +91,20 @@
         )
 
     async def send(self, chunk: bytes) -> None:
-        """Send a part of the body."""
+        """Send a chunk of the body."""
         await self.asgi_send(
             {'type': 'http.response.body', 'body': chunk, 'more_body': True},
         )
 
     async def finish(self) -> None:
-        """Mark the answer as complete."""
+        """End the response body."""
         await self.asgi_send(
             {'type': 'http.response.body', 'body': b'', 'more_body': False},
         )
 
 
 class CallerDisconnectedError(Exception):
-    """The caller closed its channel before its request was complete."""
+    """The caller disconnected before its request was complete."""
 
 
 JobHandler = Callable[
@@ -112,29 +115,30 @@
 
 @dataclass(slots=True)
 class Ingress:
-    """ASGI application of the callers' listener."""
+    """ASGI application that serves the callers' requests."""
 
     context: RelayContext
     metrics: Metrics
     generator: random.Random
-    # Serves the calls of batch jobs; False when it is none of them.
+    # Serves requests to the batch job API; returns False for all others.
     handle_job: JobHandler
-    # Whether the configuration is recent enough to say that a route is not
-    # there.
+    # Whether the configuration was confirmed recently enough to answer an
+    # unknown route with 404.
     is_current: Callable[[], bool]
     table: RouteTable | None = None
     limits: CallerLimits = field(default_factory=CallerLimits)
-    # Set at a planned stop: every answer then ends its connection.
+    # Set during a graceful shutdown: every response then closes its
+    # connection.
     closing: bool = False
     open_requests: int = 0
 
     def configure(self, configuration: Configuration) -> None:
-        """Serve by a new configuration from now on."""
+        """Replace the route table and the caller limits."""
         self.table = RouteTable.from_configuration(configuration)
         self.limits = configuration.limits
 
     def time_out_callers(self, server: HttpServer) -> None:
-        """End the connections that exceed the operator's time limits."""
+        """Close, count and log connections that exceed a caller timeout."""
         ended = server.time_out_callers(
             self.limits.header_timeout_s,
             self.limits.idle_timeout_s,
@@ -153,7 +157,7 @@
         receive: Receive,
         send: Send,
     ) -> None:
-        """Serve one request."""
+        """Serve one request; count a caller that disconnects early."""
         self.open_requests += 1
         caller = AsgiCaller(send, closing=self.closing)
         try:
@@ -171,7 +175,11 @@
         receive: Receive,
         caller: AsgiCaller,
     ) -> None:
-        """Serve a request and stop its work when the caller leaves."""
+        """Serve a request; cancel it when the caller disconnects.
+
+        Raises `IncompleteResponseError` when a started response can't be
+        completed.
+        """
         incomplete: IncompleteResponseError | None = None
         async with anyio.create_task_group() as group:
 
@@ -187,7 +195,7 @@
                 incomplete = exc
             group.cancel_scope.cancel()
         if incomplete is not None:
-            # The server closes a channel whose answer ends in an error.
+            # The server closes a connection whose response raises an error.
             raise incomplete
 
     async def read_request(
@@ -196,7 +204,10 @@
         receive: Receive,
         caller: AsgiCaller,
     ) -> ReceivedRequest | None:
-        """Read a request within the limits, or reject it."""
+        """Read a request; reject it and return None if it is too large.
+
+        Raises `CallerDisconnectedError` if the caller leaves meanwhile.
+        """
         headers: Headers = list(scope['headers'])
         size = sum(len(name) + len(content) + 4 for name, content in headers)
         if size > self.limits.max_header_bytes:
@@ -216,7 +227,7 @@
         return build_request(scope, headers, bytes(body))
 
     async def serve(self, request: ReceivedRequest, caller: AsgiCaller) -> None:
-        """Find the route of a request and serve it."""
+        """Pass a request to the job API or to the route that matches it."""
         if self.table is None:
             await self.refuse(caller, request, 'no_configuration')
             return
@@ -236,7 +247,7 @@
         await self.relay(online, caller)
 
     async def relay(self, online: OnlineRequest, caller: AsgiCaller) -> None:
-        """Relay a request and record how it ended."""
+        """Relay a request to an endpoint; log and count the outcome."""
         kind = online.route.kind
         cancelled = anyio.get_cancelled_exc_class()
         progress = Progress(EventSplitter(online.last_event))
@@ -259,7 +270,7 @@
         reason: str,
         progress: Progress,
     ) -> None:
-        """Log and count the end of a request."""
+        """Log the outcome of a request and update its metrics."""
         now_s = self.context.now()
         elapsed_ms = (now_s - online.arrived_s) * MS_IN_S
         self.metrics.count('requests_total', kind=kind, status=status)
@@ -288,15 +299,18 @@
         request: ReceivedRequest,
         route: Route,
     ) -> OnlineRequest | None:
-        """Return the request to relay, or None if it has no id."""
+        """Return the request to relay, or None if it has no attempt id.
+
+        A deadline header can shorten the route's timeout.
+        """
         request_id = request.header(names.ATTEMPT_ID)
         if not request_id:
             return None
         now_s = self.context.now()
         requested_ms = request.number(names.DEADLINE)
-        limit_s = route.timeout_s
+        timeout_s = route.timeout_s
         if requested_ms is not None:
-            limit_s = min(limit_s, requested_ms / MS_IN_S)
+            timeout_s = min(timeout_s, requested_ms / MS_IN_S)
         return OnlineRequest(
             request_id=request_id,
             method=request.method,
@@ -306,12 +320,12 @@
             route=route,
             service=choose_service(route, self.generator),
             arrived_s=now_s,
-            deadline_s=now_s + limit_s,
+            deadline_s=now_s + timeout_s,
             last_event=request.number(names.LAST_EVENT),
         )
 
     async def reject(self, caller: AsgiCaller, status: int) -> None:
-        """Reject a request that is wrong in itself."""
+        """Reject an invalid or unroutable request."""
         self.metrics.count('requests_rejected_total', status=str(status))
         self.context.log_event('request_rejected', status=status)
         await send_response(caller, status)
@@ -322,7 +336,7 @@
         request: ReceivedRequest,
         reason: str,
     ) -> None:
-        """Refuse a request that this entry can't judge yet."""
+        """Refuse a request because the configuration is missing or old."""
         request_id = request.header(names.ATTEMPT_ID) or b''
         self.metrics.count('requests_refused_total', reason=reason)
         self.context.log_event(
@@ -330,19 +344,19 @@
             request=request_id.decode('latin-1'),
             reason=reason,
         )
-        pause = b'%.2f' % NO_CONFIGURATION_RETRY_S
-        await send_refusal(caller, STATUS_UNAVAILABLE, pause)
+        retry_after = b'%.2f' % CONFIGURATION_RETRY_S
+        await send_refusal(caller, STATUS_UNAVAILABLE, retry_after)
 
 
 def span_ms(start_s: float, end_s: float) -> int | str:
-    """Return a span in ms, or nothing if its end never came."""
+    """Return a time span in ms, or an empty string if it has no end."""
     return int((end_s - start_s) * MS_IN_S) if end_s else ''
 
 
 def build_request(
     scope: Scope, headers: Headers, body: bytes
 ) -> ReceivedRequest:
-    """Return a request in the project's form."""
+    """Build a received request from an ASGI scope, headers and body."""
     query: bytes = scope['query_string']
     raw_path: bytes = scope['raw_path']
     host = next((text for name, text in headers if name == b'host'), b'')
@@ -358,7 +372,10 @@
 
 
 def readiness_app(unready_reason: Callable[[], str]) -> App:
-    """Return the ASGI application of the readiness listener."""
+    """Return an ASGI app for the readiness probe.
+
+    It responds 200 if the reason is empty and 503 with the reason if not.
+    """
 
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
         reason = unready_reason().encode()
--- a/src/quetzaldyke/gateway/online_request.py
+++ b/src/quetzaldyke/gateway/online_request.py
@@ -1,4 +1,4 @@
-"""One online request: what it asks for, and what has happened to it."""
+"""State of an online request and what all requests share."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 
 class Caller(Protocol):
-    """The side that waits for the answer."""
+    """Receives the response to a request."""
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Send the head of the answer."""
+        """Send the status and headers of the response."""
 
     async def send(self, chunk: bytes) -> None:
-        """Send a part of the body."""
+        """Send a chunk of the body."""
 
     async def finish(self) -> None:
-        """Mark the answer as complete."""
+        """End the response body."""
 
 
 @dataclass(slots=True)
 class OnlineRequest:
-    """One attempt of a caller."""
+    """A caller's request that is relayed to an endpoint."""
 
     request_id: bytes
     method: bytes
@@ -43,11 +43,14 @@
     arrived_s: float
     deadline_s: float
     last_event: int | None
-    # Kept, as the whole body goes into it and every failure asks for it.
+    # Cached, because hashing covers the whole body and every failure needs it.
     cached_fingerprint: str = ''
 
     def fingerprint(self) -> str:
-        """Return what a repeated request has in common with this one."""
+        """Return a hash of body, method and target.
+
+        A caller's retry of the same request has the same fingerprint.
+        """
         if self.cached_fingerprint:
             return self.cached_fingerprint
         digest = hashlib.blake2b(self.body, digest_size=8)
@@ -58,40 +61,40 @@
 
 @dataclass(slots=True)
 class Progress:
-    """What has happened to a request so far."""
+    """Progress of a request over all its attempts."""
 
     splitter: EventSplitter = field(default_factory=EventSplitter)
     response_started: bool = False
-    # Sends that an endpoint may have run.
+    # Sends after which the endpoint may have run the request.
     attempts: int = 0
     sends: int = 0
     tried_endpoints: set[str] = field(default_factory=set)
     last_failure: str = ''
     endpoint_id: str = ''
     first_event_at_s: float = 0.0
-    # When the latest place was taken, and how many requests its endpoint
-    # was believed to run.
+    # When the request was last placed, and the number of requests that the
+    # endpoint was then assumed to run.
     placed_s: float = 0.0
     running: int = 0
-    # Chunks with events of the latest run.
+    # Chunks with whole events received in the latest attempt.
     event_chunks: int = 0
 
     def begin_send(self, endpoint_id: str, placed_s: float) -> None:
-        """Note the endpoint of the next send."""
+        """Record the endpoint that the request is sent to next."""
         self.sends += 1
         self.endpoint_id = endpoint_id
         self.placed_s = placed_s
         self.event_chunks = 0
 
     def note_events(self, now_s: float) -> None:
-        """Note that events have come."""
+        """Record that a chunk with whole events has arrived."""
         self.event_chunks += 1
         self.first_event_at_s = self.first_event_at_s or now_s
 
 
 @dataclass(frozen=True, slots=True)
 class RelayContext:
-    """What all requests of a process share."""
+    """Services that all requests of a process share."""
 
     dispatcher: Dispatcher
     client: HttpClient
@@ -102,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How a request ended, for logs and metrics."""
+    """Status and reason of a finished request, for logs and metrics."""
 
     status: int
     reason: str
--- a/src/quetzaldyke/gateway/relay.py
+++ b/src/quetzaldyke/gateway/relay.py
@@ -1,8 +1,8 @@
-"""Carries one online request to an endpoint and its answer back.
+"""Relays an online request to an endpoint and the response to the caller.
 
-What may be repeated follows from the route's kind. A request that may run
-only once is sent again only when the endpoint certainly did not run it. A
-resumable stream goes on at another endpoint after its last whole event.
+The kind of the route decides what may be retried. A request that is not
+idempotent is retried only if the endpoint certainly did not run it. A
+resumable stream continues at another endpoint after its last whole event.
 """
 
 from __future__ import annotations
@@ -31,9 +31,10 @@
 from quetzaldyke.platform import names
 
 MS_IN_S: Final = 1000
-# Told to a caller whose request crashes endpoints; the fault stays.
+# Retry-After for a request that crashes endpoints: long, because an earlier
+# retry would meet the same fault.
 CRASHING_REQUEST_RETRY_S: Final = 60.0
-# Told to a caller whose request several endpoints turned away.
+# Retry-After for a request that several endpoints rejected without running.
 REJECTED_RETRY_AFTER: Final = b'0.5'
 
 
@@ -43,7 +44,11 @@
     caller: Caller,
     progress: Progress,
 ) -> Outcome:
-    """Serve one request; raises `IncompleteResponseError` to end its channel."""
+    """Relay a request, with retries, until it has a final response.
+
+    Raises `IncompleteResponseError` when a started response can't be
+    completed; the caller's connection must then be closed.
+    """
     if context.crashes.is_suspect(request.fingerprint()):
         return await refuse(
             caller,
@@ -82,7 +87,7 @@
     request: OnlineRequest,
     refusal: Refusal,
 ) -> None:
-    """Log why a request got no place, with what decided it."""
+    """Log why a request was not placed on an endpoint."""
     context.log_event(
         'request_not_placed',
         request=request.request_id.decode('latin-1'),
@@ -101,7 +106,12 @@
     progress: Progress,
     refusal: Refusal,
 ) -> Outcome:
-    """Reject a request; it is told to have not run only when that is true."""
+    """Send the final response to a request that was not placed.
+
+    The response is 503 with Retry-After only if no endpoint can have run the
+    request; otherwise it is 502. Raises `IncompleteResponseError` if a
+    response has already been started.
+    """
     if progress.attempts or progress.response_started:
         return await send_final_response(
             caller,
@@ -109,8 +119,8 @@
             STATUS_BAD_GATEWAY,
             refusal.reason,
         )
-    pause = b'%.2f' % refusal.retry_after_s
-    await responses.send_refusal(caller, STATUS_UNAVAILABLE, pause)
+    retry_after = b'%.2f' % refusal.retry_after_s
+    await responses.send_refusal(caller, STATUS_UNAVAILABLE, retry_after)
     return Outcome(STATUS_UNAVAILABLE, refusal.reason)
 
 
@@ -120,7 +130,10 @@
     status: int,
     reason: str,
 ) -> Outcome:
-    """Give the final answer to a request that can't be served."""
+    """Send an error response to a request that can't be retried.
+
+    Raises `IncompleteResponseError` if a response has already been started.
+    """
     if progress.response_started:
         raise IncompleteResponseError(reason)
     if status == STATUS_UNAVAILABLE:
--- a/src/quetzaldyke/gateway/responses.py
+++ b/src/quetzaldyke/gateway/responses.py
@@ -1,4 +1,4 @@
-"""Whole answers that an entry gives by itself."""
+"""Sends complete HTTP responses to callers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     body: bytes = b'',
     headers: Headers | None = None,
 ) -> None:
-    """Send a whole answer."""
+    """Send a complete response with its content length."""
     length = (b'content-length', b'%d' % len(body))
     await caller.start(status, [*(headers or []), length])
     if body:
@@ -21,5 +21,5 @@
 
 
 async def send_refusal(caller: Caller, status: int, retry_after: bytes) -> None:
-    """Refuse a request and say when to come back."""
+    """Send a response without a body that states when to retry."""
     await send_response(caller, status, b'', [(names.RETRY_AFTER, retry_after)])
--- a/src/quetzaldyke/gateway/retries.py
+++ b/src/quetzaldyke/gateway/retries.py
@@ -1,9 +1,9 @@
-"""Whether a request that failed may be sent again.
+"""Decides whether a failed request may be retried.
 
-Failure pattern: endpoints that crash, refuse or lose answers while their
-requests may or may not have run. What may be repeated follows from the
-route's kind; a request that may run once is sent again only when every
-endpoint that got it said that it did not run it.
+Endpoints crash, refuse requests or lose responses, and it is then unknown
+whether the request ran. The kind of the route decides what may be retried: a
+request that is not idempotent is retried only if every endpoint that received
+it reported that it did not run.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 )
 from quetzaldyke.platform import names
 
-# Sends that were certainly not run are not counted as attempts; this bounds
-# them, because each costs the caller time.
+# Limits all sends of a request. Those that were certainly not run don't count
+# as attempts but still cost the caller time.
 MAX_SENDS: Final = 5
-# Another endpoint than the one named in the request.
+# The endpoint is not the one that the request names.
 STATUS_MISDIRECTED: Final = 421
 STATUS_BAD_GATEWAY: Final = 502
 STATUS_UNAVAILABLE: Final = 503
@@ -29,7 +29,7 @@
 
 
 def is_not_run(head: ResponseHead) -> bool:
-    """Tell whether an answer says that the endpoint did not run a request."""
+    """Tell whether a response states that the request was not run."""
     refused = head.get(names.NOT_RUN) is not None
     return refused or head.status == STATUS_MISDIRECTED
 
@@ -39,7 +39,7 @@
     request: OnlineRequest,
     progress: Progress,
 ) -> tuple[int, str] | None:
-    """Return the final status if a request must not be sent again."""
+    """Return the final status and reason, or None if a retry is allowed."""
     route = request.route
     if context.now() >= request.deadline_s:
         return STATUS_TIMEOUT, 'deadline'
--- a/src/quetzaldyke/gateway/stalls.py
+++ b/src/quetzaldyke/gateway/stalls.py
@@ -1,8 +1,9 @@
-"""How long an endpoint may be silent before a request goes elsewhere.
+"""Timeouts after which a request to a silent endpoint is retried elsewhere.
 
-Failure pattern: an endpoint goes dark while it holds requests. A stream that
-can be resumed is moved early enough to be on time at another endpoint; a
-request that can't be repeated waits, as silence does not prove a failure.
+An endpoint can become unresponsive while it holds requests. A resumable
+stream is moved early enough to meet its latency target at another endpoint. A
+request that can't be retried keeps waiting, because silence does not prove a
+failure.
 """
 
 from __future__ import annotations
@@ -17,10 +18,11 @@
 FIRST_EVENT_SHARE: Final = 0.5
 NEXT_EVENT_SHARE: Final = 0.6
 MIN_EVENT_TIMEOUT_S: Final = 0.12
-# An endpoint that had no free slot needs time for the requests before.
+# Timeout at an endpoint without a free slot, which first has to serve the
+# requests queued before this one.
 QUEUED_TIMEOUT_S: Final = 0.7
-# Share of the remaining time that a whole answer may take at the first
-# endpoint, where another may still be tried.
+# Share of the remaining time that a whole response may take while another
+# endpoint may still be tried.
 FIRST_ATTEMPT_SHARE: Final = 0.45
 
 
@@ -30,9 +32,10 @@
     silence_timeout_s: float,
     now_s: float,
 ) -> float:
-    """Return until when a silent request may wait on, 0 for no longer.
+    """Return a later deadline for a silent request, or 0 for none.
 
-    An endpoint that serves others meanwhile is not dark but busy.
+    An endpoint that has sent bytes to other requests meanwhile is busy, not
+    unresponsive.
     """
     if book.sent_since(place.endpoint.endpoint_id, now_s - silence_timeout_s):
         return place.taken_s + QUEUED_TIMEOUT_S
@@ -40,14 +43,14 @@
 
 
 def first_event_timeout_s(route: Route, place: Place) -> float:
-    """Return how long the first event of a run may take."""
+    """Return the timeout for the first event after sending a request."""
     if place.queued:
         return QUEUED_TIMEOUT_S
     return max(MIN_EVENT_TIMEOUT_S, FIRST_EVENT_SHARE * route.target_s)
 
 
 def next_event_timeout_s(route: Route) -> float:
-    """Return how long a pause between events may be."""
+    """Return the timeout between two events of a stream."""
     return max(MIN_EVENT_TIMEOUT_S, NEXT_EVENT_SHARE * route.max_gap_s)
 
 
@@ -57,11 +60,11 @@
     attempts: int,
     now_s: float,
 ) -> float:
-    """Return until when the head of an answer may take to come."""
+    """Return the time by which the head of the response must arrive."""
     route = request.route
-    limit_s = request.deadline_s
+    deadline_s = request.deadline_s
     if not route.idempotent or attempts >= route.max_attempts:
-        return limit_s
+        return deadline_s
     if route.kind == 'stream':
-        return min(limit_s, now_s + first_event_timeout_s(route, place))
-    return now_s + (limit_s - now_s) * FIRST_ATTEMPT_SHARE
+        return min(deadline_s, now_s + first_event_timeout_s(route, place))
+    return now_s + (deadline_s - now_s) * FIRST_ATTEMPT_SHARE
--- a/tests/test_gateway_attempts.py
+++ b/tests/test_gateway_attempts.py
@@ -1,4 +1,4 @@
-"""Tests of attempts: stalls, errors and what they say of an endpoint."""
+"""Tests of attempts: timeouts, errors, retries and endpoint ejection."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class FakeCaller:
-    """Keeps what a caller gets."""
+    """Records the response that a caller receives."""
 
     status: int = 0
     headers: Headers = field(default_factory=list)
@@ -48,22 +48,22 @@
     finished: bool = False
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Take the head."""
+        """Record status and headers."""
         self.status = status
         self.headers = headers
 
     async def send(self, chunk: bytes) -> None:
-        """Take a part of the body."""
+        """Append a chunk to the body."""
         self.body += chunk
 
     async def finish(self) -> None:
-        """Take the end."""
+        """Record the end of the response."""
         self.finished = True
 
 
 @dataclass(slots=True)
 class AttemptHarness:
-    """One attempt at endpoint `e1` of a fake fleet."""
+    """An attempt at endpoint `e1` with a fake clock and dispatcher."""
 
     time: FakeTime
     dispatcher: Dispatcher
@@ -115,24 +115,24 @@
     )
 
 
-async def test_time_out_of_a_request_does_not_blame_the_endpoint() -> None:
-    """Guards against endpoints ejected by requests with little time."""
+async def test_request_timeout_does_not_eject_the_endpoint() -> None:
+    """Guards against ejecting endpoints for requests with short deadlines."""
     harness = AttemptHarness.of(make_route('idempotent'))
     harness.attempt.progress.attempts = 2
     await harness.attempt.handle_error_response(ResponseHead(504, []), b'')
     assert not harness.ejected()
 
 
-async def test_fault_blames_the_endpoint() -> None:
-    """Guards against endpoints that fail and keep their full share."""
+async def test_server_error_ejects_the_endpoint() -> None:
+    """Guards against failing endpoints that keep their share of requests."""
     harness = AttemptHarness.of(make_route('idempotent'))
     harness.attempt.progress.attempts = 2
     await harness.attempt.handle_error_response(ResponseHead(500, []), b'')
     assert harness.ejected()
 
 
-def test_busy_endpoint_is_not_eject() -> None:
-    """Guards against a burst that ejects every full engine."""
+def test_busy_endpoint_is_not_ejected() -> None:
+    """Guards against a burst of requests that ejects every busy engine."""
     harness = AttemptHarness.of(make_route())
     harness.time.now_s += 0.2
     harness.dispatcher.book.note_bytes('e1', harness.time.now_s - 0.05)
@@ -140,16 +140,16 @@
     assert not harness.ejected()
 
 
-def test_one_lost_answer_does_not_eject_a_serving_endpoint() -> None:
-    """Guards against single resets that take whole engines out of use."""
+def test_one_lost_response_does_not_eject_a_serving_endpoint() -> None:
+    """Guards against ejecting a whole engine for one connection reset."""
     harness = AttemptHarness.of(make_route())
     harness.dispatcher.book.note_bytes('e1', harness.time.now_s - 0.05)
     harness.attempt.note_failure(ExchangeError(Failure.BROKEN))
     assert not harness.ejected()
 
 
-def test_many_lost_answers_eject_a_serving_endpoint() -> None:
-    """Guards against endpoints that fail a large share of their requests."""
+def test_many_lost_responses_eject_a_serving_endpoint() -> None:
+    """Guards against keeping endpoints that lose many of their responses."""
     harness = AttemptHarness.of(make_route())
     for _ in range(5):
         harness.dispatcher.book.note_bytes('e1', harness.time.now_s)
@@ -157,8 +157,8 @@
     assert harness.ejected()
 
 
-def test_dark_endpoint_is_eject() -> None:
-    """Guards against a dark engine that keeps getting streams."""
+def test_unresponsive_endpoint_is_ejected() -> None:
+    """Guards against an unresponsive engine that keeps receiving streams."""
     harness = AttemptHarness.of(make_route())
     harness.dispatcher.book.note_bytes('e1', harness.time.now_s - 1.0)
     harness.time.now_s += 0.2
@@ -167,7 +167,10 @@
 
 
 def test_wait_at_a_busy_endpoint_is_extended_once() -> None:
-    """Guards against streams that lose their place in a busy engine."""
+    """Guards against streams that lose their place in a busy engine's queue.
+
+    The timeout is extended only if the endpoint has sent bytes, and only once.
+    """
     harness = AttemptHarness.of(make_route())
     place = harness.attempt.place
     now_s = harness.time.now_s + 0.2
@@ -194,13 +197,13 @@
         (make_route('idempotent', resumable=False), 1, 1, True),
     ],
 )
-def test_what_may_be_repeated(
+def test_which_requests_may_be_retried(
     route: Route,
     attempts: int,
     sends: int,
     may_retry: bool,
 ) -> None:
-    """Guards against a second run of a request that may run once."""
+    """Guards against retrying a request that is not idempotent."""
     harness = AttemptHarness.of(route)
     progress = Progress(attempts=attempts, sends=sends)
     final = final_failure(
@@ -212,7 +215,7 @@
 
 
 async def test_request_that_crashes_endpoints_is_refused() -> None:
-    """Guards against a request that takes one endpoint down after another."""
+    """Guards against a request that crashes one endpoint after another."""
     harness = AttemptHarness.of(make_route())
     context = harness.attempt.context
     request = harness.attempt.request
@@ -223,8 +226,8 @@
     assert (caller.status, outcome.reason) == (503, 'crashes_endpoints')
 
 
-async def test_request_that_was_served_is_no_suspect() -> None:
-    """Guards against refusing what only ran beside a crashing request."""
+async def test_served_request_is_no_suspect() -> None:
+    """Guards against refusing a request that ran beside a crashing one."""
     harness = AttemptHarness.of(make_route())
     crashes = harness.attempt.context.crashes
     fingerprint = harness.attempt.request.fingerprint()
@@ -235,8 +238,8 @@
     assert not crashes.is_suspect(fingerprint)
 
 
-async def test_expired_request_gets_its_final_answer() -> None:
-    """Guards against callers that are held after their time is over."""
+async def test_expired_request_gets_a_final_response() -> None:
+    """Guards against callers that wait past their deadline."""
     harness = AttemptHarness.of(make_route('idempotent'))
     request = replace(
         harness.attempt.request,
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -12,7 +12,7 @@
 from quetzaldyke.gateway.http_client import HttpClient, encode_request
 
 pytestmark = pytest.mark.anyio
-WHOLE = b'HTTP/1.1 200 OK\r\nX-Id: r1\r\nContent-Length: 2\r\n\r\nok'
+RESPONSE = b'HTTP/1.1 200 OK\r\nX-Id: r1\r\nContent-Length: 2\r\n\r\nok'
 
 
 @pytest.fixture
@@ -23,22 +23,22 @@
 
 @asynccontextmanager
 async def endpoint(
-    *answers: bytes,
+    *responses: bytes,
     close: bool = True,
 ) -> AsyncIterator[int]:
-    """Serve each request with the next of the given bytes."""
-    left = list(answers)
+    """Run a server that answers each request with the next given bytes."""
+    remaining = list(responses)
 
     async def serve(
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        while left:
+        while remaining:
             try:
                 await reader.readuntil(b'\r\n\r\n')
             except asyncio.IncompleteReadError:
                 return
-            writer.write(left.pop(0))
+            writer.write(remaining.pop(0))
             await writer.drain()
         if close:
             writer.close()
@@ -48,7 +48,7 @@
         yield server.sockets[0].getsockname()[1]
 
 
-async def ask(
+async def fetch(
     client: HttpClient,
     port: int,
     request_id: bytes = b'r1',
@@ -68,18 +68,18 @@
 async def test_connection_is_reused() -> None:
     """Guards against a new connection for every request."""
     client = HttpClient()
-    async with endpoint(WHOLE, WHOLE, close=False) as port:
-        assert await ask(client, port) == (200, b'ok')
+    async with endpoint(RESPONSE, RESPONSE, close=False) as port:
+        assert await fetch(client, port) == (200, b'ok')
         await asyncio.sleep(0)
-        assert await ask(client, port) == (200, b'ok')
+        assert await fetch(client, port) == (200, b'ok')
     assert client.connections_opened == 1
 
 
 @pytest.mark.parametrize(
-    ('answer', 'failure'),
+    ('response', 'failure'),
     [
         (b'', Failure.BROKEN),
-        (WHOLE[:-1], Failure.BROKEN),
+        (RESPONSE[:-1], Failure.BROKEN),
         (b'HTTP/1.1 200 OK\r\nConte', Failure.BROKEN),
         (b'what is this\r\n\r\n', Failure.MALFORMED),
         (
@@ -88,43 +88,43 @@
         ),
     ],
 )
-async def test_cut_answer_is_not_complete(
-    answer: bytes,
+async def test_truncated_response_is_not_complete(
+    response: bytes,
     failure: Failure,
 ) -> None:
-    """Guards against a truncated answer that looks complete."""
-    async with endpoint(answer) as port:
+    """Guards against a truncated response that counts as complete."""
+    async with endpoint(response) as port:
         with pytest.raises(ExchangeError) as caught:
-            await ask(HttpClient(), port)
+            await fetch(HttpClient(), port)
     assert caught.value.failure is failure
 
 
-async def test_answer_without_a_length_ends_with_a_clean_close() -> None:
-    """Guards against unframed answers taken for broken ones."""
+async def test_response_without_a_length_ends_with_a_clean_close() -> None:
+    """Guards against rejecting responses that end with the connection."""
     async with endpoint(
         b'HTTP/1.1 200 OK\r\nX-Id: r1\r\n\r\nall of it'
     ) as port:
-        assert await ask(HttpClient(), port) == (200, b'all of it')
+        assert await fetch(HttpClient(), port) == (200, b'all of it')
 
 
-async def test_answer_to_another_request_is_skipped() -> None:
-    """Guards against callers that get the late answer of another."""
-    late = WHOLE.replace(b'r1', b'r0').replace(b'ok', b'no')
-    async with endpoint(late + WHOLE) as port:
-        assert await ask(HttpClient(), port) == (200, b'ok')
+async def test_response_to_another_request_is_skipped() -> None:
+    """Guards against callers that receive the late response of another."""
+    stale = RESPONSE.replace(b'r1', b'r0').replace(b'ok', b'no')
+    async with endpoint(stale + RESPONSE) as port:
+        assert await fetch(HttpClient(), port) == (200, b'ok')
 
 
-async def test_extra_answer_ends_the_reuse() -> None:
-    """Guards against an extra answer that meets the next request."""
+async def test_extra_response_ends_the_reuse() -> None:
+    """Guards against an extra response that the next request receives."""
     client = HttpClient()
-    async with endpoint(WHOLE + WHOLE, WHOLE, close=False) as port:
-        assert await ask(client, port) == (200, b'ok')
+    async with endpoint(RESPONSE + RESPONSE, RESPONSE, close=False) as port:
+        assert await fetch(client, port) == (200, b'ok')
         await asyncio.sleep(0)
         assert not client.pool('127.0.0.1', port).idle
 
 
-async def test_late_extra_answer_breaks_the_idle_connection() -> None:
-    """Guards against bytes that wait on an idle connection."""
+async def test_late_extra_response_closes_the_idle_connection() -> None:
+    """Guards against reuse of an idle connection that received bytes."""
     client = HttpClient()
     sent = asyncio.Event()
 
@@ -133,44 +133,44 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         await reader.readuntil(b'\r\n\r\n')
-        writer.write(WHOLE)
+        writer.write(RESPONSE)
         await asyncio.sleep(0.02)
-        writer.write(WHOLE)
+        writer.write(RESPONSE)
         await writer.drain()
         sent.set()
 
     server = await asyncio.start_server(serve, '127.0.0.1', 0)
     async with server:
         port = server.sockets[0].getsockname()[1]
-        assert await ask(client, port) == (200, b'ok')
+        assert await fetch(client, port) == (200, b'ok')
         await sent.wait()
         await asyncio.sleep(0.02)
         assert client.pool('127.0.0.1', port).take(9.0) is None
 
 
-async def test_close_is_honoured() -> None:
+async def test_connection_close_ends_the_reuse() -> None:
     """Guards against reuse of a connection that the endpoint closes."""
     client = HttpClient()
-    closing = WHOLE.replace(b'X-Id', b'Connection: close\r\nX-Id')
+    closing = RESPONSE.replace(b'X-Id', b'Connection: close\r\nX-Id')
     async with endpoint(closing, close=False) as port:
-        assert await ask(client, port) == (200, b'ok')
+        assert await fetch(client, port) == (200, b'ok')
         await asyncio.sleep(0)
         assert not client.pool('127.0.0.1', port).idle
 
 
 async def test_refused_connection_was_not_sent() -> None:
-    """Guards against a request called run though nobody got it."""
+    """Guards against treating a request as run that no peer received."""
     async with endpoint() as port:
         free_port = port
     with pytest.raises(ExchangeError) as caught:
-        await ask(HttpClient(), free_port)
+        await fetch(HttpClient(), free_port)
     assert caught.value.failure is Failure.NOT_CONNECTED
 
 
-async def test_cancel_breaks_the_connection() -> None:
-    """Guards against endpoints that work on after the caller has left."""
-    gone: list[Callable[[], None]] = []
-    left = asyncio.Event()
+async def test_cancel_closes_the_connection() -> None:
+    """Guards against endpoints that keep working after a caller has left."""
+    reset_writers: list[Callable[[], None]] = []
+    connection_closed = asyncio.Event()
 
     async def serve(
         reader: asyncio.StreamReader,
@@ -180,8 +180,8 @@
         try:
             await reader.read()
         except ConnectionError:
-            gone.append(writer.close)
-        left.set()
+            reset_writers.append(writer.close)
+        connection_closed.set()
 
     server = await asyncio.start_server(serve, '127.0.0.1', 0)
     async with server:
@@ -192,6 +192,6 @@
         await asyncio.sleep(0.01)
         exchange.cancel()
         async with asyncio.timeout(2):
-            await left.wait()
+            await connection_closed.wait()
     with pytest.raises(ExchangeError):
         await exchange.read_head()
