--- a/src/quetzaldyke/gateway/attempt.py
+++ b/src/quetzaldyke/gateway/attempt.py
@@ -260,7 +260,7 @@
         if self.progress.response_started:
             raise ExchangeError(
                 Failure.MALFORMED,
-                f'status {head.status} for a resumed stream',
+                f'resumed stream has status {head.status}',
             )
         self.note_served()
         return await self.forward_body(head, body, 'served')
--- a/src/quetzaldyke/gateway/event_stream.py
+++ b/src/quetzaldyke/gateway/event_stream.py
@@ -64,7 +64,7 @@
         """
         if self.last_id is not None and event_id != self.last_id + 1:
             raise StreamOrderError(
-                f'event {event_id} after event {self.last_id}'
+                f'{event_id} is not the event id after {self.last_id}'
             )
         self.last_id = event_id
 
