--- a/tests/test_gateway_process_parts.py
+++ b/tests/test_gateway_process_parts.py
@@ -22,8 +22,8 @@
 from quetzaldyke.gateway.endpoint_feed import EndpointFeed
 from quetzaldyke.gateway.endpoints import EndpointBook
 from quetzaldyke.gateway.gossip import (
-    CrashNews,
     GossipMessage,
+    CrashNews,
     JobEnded,
     LoadReport,
     PreemptBatch,
