--- a/src/quetzaldyke/gateway/relay.py
+++ b/src/quetzaldyke/gateway/relay.py
@@ -1,8 +1,8 @@
-"""Carries one online request to an endpoint and its answer back.
+"""Relays an online request to an endpoint and the response to the caller.
 
-What may be repeated follows from the route's kind. A request that may run
-only once is sent again only when the endpoint certainly did not run it. A
-resumable stream goes on at another endpoint after its last whole event.
+The kind of the route decides what may be retried. A request that is not
+idempotent is retried only if the endpoint certainly did not run it. A
+resumable stream continues at another endpoint after its last whole event.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 
 from result import Err
 
-from quetzaldyke.gateway import answers
+from quetzaldyke.gateway import responses
 from quetzaldyke.gateway.attempt import Attempt
-from quetzaldyke.gateway.broken_answer import BrokenAnswerError
 from quetzaldyke.gateway.dispatcher import Refusal
 from quetzaldyke.gateway.exchange import Exchange
+from quetzaldyke.gateway.incomplete_response import IncompleteResponseError
 from quetzaldyke.gateway.online_request import (
     Caller,
     OnlineRequest,
@@ -26,15 +26,16 @@
 from quetzaldyke.gateway.retries import (
     STATUS_BAD_GATEWAY,
     STATUS_UNAVAILABLE,
-    may_not_retry,
+    final_failure,
 )
 from quetzaldyke.platform import names
 
 MS_IN_S: Final = 1000
-# Told to a caller whose request crashes endpoints; the fault stays.
-CRASHING_RETRY_S: Final = 60.0
-# Told to a caller whose request several endpoints turned away.
-TURNED_AWAY_RETRY: Final = b'0.5'
+# Retry-After for a request that crashes endpoints: long, because an earlier
+# retry would meet the same fault.
+CRASHING_REQUEST_RETRY_S: Final = 60.0
+# Retry-After for a request that several endpoints rejected without running.
+REJECTED_RETRY_AFTER: Final = b'0.5'
 
 
 async def relay(
@@ -43,19 +44,23 @@
     caller: Caller,
     progress: Progress,
 ) -> Outcome:
-    """Serve one request; raises `BrokenAnswerError` to end its channel."""
+    """Relay a request, with retries, until it has a final response.
+
+    Raises `IncompleteResponseError` when a started response can't be
+    completed; the caller's connection must then be closed.
+    """
     if context.crashes.is_suspect(request.fingerprint()):
         return await refuse(
             caller,
             progress,
-            Refusal('crashes_endpoints', CRASHING_RETRY_S),
+            Refusal('crashes_endpoints', CRASHING_REQUEST_RETRY_S),
         )
     while True:
         placed = await context.dispatcher.place(
             request.service,
             request.route,
             request.deadline_s,
-            progress.tried,
+            progress.tried_endpoints,
             sent_before=progress.sends > 0,
         )
         if isinstance(placed, Err):
@@ -72,9 +77,9 @@
             context.dispatcher.release(place)
         if outcome is not None:
             return outcome
-        final = may_not_retry(context, request, progress)
+        final = final_failure(context, request, progress)
         if final is not None:
-            return await give_up(caller, progress, *final)
+            return await send_final_response(caller, progress, *final)
 
 
 def log_refusal(
@@ -82,7 +87,7 @@
     request: OnlineRequest,
     refusal: Refusal,
 ) -> None:
-    """Log why a request got no place, with what decided it."""
+    """Log why a request was not placed on an endpoint."""
     context.log_event(
         'request_not_placed',
         request=request.request_id.decode('latin-1'),
@@ -101,30 +106,38 @@
     progress: Progress,
     refusal: Refusal,
 ) -> Outcome:
-    """Reject a request; it is told to have not run only when that is true."""
-    if progress.attempts or progress.started:
-        return await give_up(
+    """Send the final response to a request that was not placed.
+
+    The response is 503 with Retry-After only if no endpoint can have run the
+    request; otherwise it is 502. Raises `IncompleteResponseError` if a
+    response has already been started.
+    """
+    if progress.attempts or progress.response_started:
+        return await send_final_response(
             caller,
             progress,
             STATUS_BAD_GATEWAY,
             refusal.reason,
         )
-    pause = b'%.2f' % refusal.retry_after_s
-    await answers.refuse(caller, STATUS_UNAVAILABLE, pause)
+    retry_after = b'%.2f' % refusal.retry_after_s
+    await responses.send_refusal(caller, STATUS_UNAVAILABLE, retry_after)
     return Outcome(STATUS_UNAVAILABLE, refusal.reason)
 
 
-async def give_up(
+async def send_final_response(
     caller: Caller,
     progress: Progress,
     status: int,
     reason: str,
 ) -> Outcome:
-    """Give the final answer to a request that can't be served."""
-    if progress.started:
-        raise BrokenAnswerError(reason)
+    """Send an error response to a request that can't be retried.
+
+    Raises `IncompleteResponseError` if a response has already been started.
+    """
+    if progress.response_started:
+        raise IncompleteResponseError(reason)
     if status == STATUS_UNAVAILABLE:
-        await answers.refuse(caller, status, TURNED_AWAY_RETRY)
+        await responses.send_refusal(caller, status, REJECTED_RETRY_AFTER)
     else:
-        await answers.answer(caller, status)
+        await responses.send_response(caller, status)
     return Outcome(status, reason)
--- a/src/quetzaldyke/gateway/answers.py
+++ b/src/quetzaldyke/gateway/responses.py
@@ -1,4 +1,4 @@
-"""Whole answers that an entry gives by itself."""
+"""Sends complete HTTP responses to callers."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from quetzaldyke.platform import names
 
 
-async def answer(
+async def send_response(
     caller: Caller,
     status: int,
     body: bytes = b'',
     headers: Headers | None = None,
 ) -> None:
-    """Send a whole answer."""
+    """Send a complete response with its content length."""
     length = (b'content-length', b'%d' % len(body))
     await caller.start(status, [*(headers or []), length])
     if body:
@@ -20,6 +20,6 @@
     await caller.finish()
 
 
-async def refuse(caller: Caller, status: int, retry_after: bytes) -> None:
-    """Refuse a request and say when to come back."""
-    await answer(caller, status, b'', [(names.RETRY_AFTER, retry_after)])
+async def send_refusal(caller: Caller, status: int, retry_after: bytes) -> None:
+    """Send a response without a body that states when to retry."""
+    await send_response(caller, status, b'', [(names.RETRY_AFTER, retry_after)])
