--- a/src/quetzaldyke/gateway/batch_runner.py
+++ b/src/quetzaldyke/gateway/batch_runner.py
@@ -63,7 +63,7 @@
     # Set at a planned stop: nothing new starts.
     stopping: bool = False
     # Whether the peers' use of the endpoints is known.
-    joined: bool = False
+    peers_known: bool = False
     handle: asyncio.TimerHandle | None = None
     times: RunTimes = field(default_factory=RunTimes)
     run_context: RunContext = field(init=False)
@@ -147,7 +147,7 @@
             self.handle.cancel()
         self.handle = None
         self.preempt_surplus()
-        if self.stopping or not self.joined or not self.jobs:
+        if self.stopping or not self.peers_known or not self.jobs:
             return
         now_s = self.dispatcher.clock.now()
         by_service: dict[str, list[Candidate]] = {}
@@ -195,9 +195,9 @@
                 continue
             slots = belief.endpoint.slots
             for _ in range(self.policy.surplus(endpoint_id, slots)):
-                self.stop_one(endpoint_id)
+                self.preempt_run(endpoint_id)
 
-    def stop_one(self, endpoint_id: str) -> bool:
+    def preempt_run(self, endpoint_id: str) -> bool:
         """Stop the run on an endpoint that has done least."""
         runs = [
             (-job.due_ms, one.events_done, number, one)
--- a/src/quetzaldyke/gateway/entry.py
+++ b/src/quetzaldyke/gateway/entry.py
@@ -28,10 +28,10 @@
 from quetzaldyke.gateway.http_client import HttpClient
 from quetzaldyke.gateway.ingress import Ingress
 from quetzaldyke.gateway.job_api import JobApi
-from quetzaldyke.gateway.job_book import JobBook
 from quetzaldyke.gateway.job_owner import JobOwner
 from quetzaldyke.gateway.job_records import END_PREFIX, Member
 from quetzaldyke.gateway.job_store import JobStore
+from quetzaldyke.gateway.job_table import JobTable
 from quetzaldyke.gateway.loads import LoadTable
 from quetzaldyke.gateway.logs import LineWriter, log_event
 from quetzaldyke.gateway.membership import (
@@ -80,7 +80,7 @@
     book: EndpointBook
     loads: LoadTable
     dispatcher: Dispatcher
-    jobs: JobBook
+    jobs: JobTable
     job_store: JobStore
     gossip: Gossip
     registration: Registration
@@ -131,7 +131,7 @@
             generator,
             is_engine=lambda service: entry.configurations.is_engine(service),
         )
-        jobs = JobBook()
+        jobs = JobTable()
         job_store = JobStore(store, jobs, owner_id, installation.instance)
         metrics = Metrics()
         api = JobApi(
@@ -273,7 +273,7 @@
     def preempt_batch(self, endpoint: Endpoint) -> None:
         """Have one batch run leave an endpoint for an online request."""
         endpoint_id = endpoint.endpoint_id
-        if self.runner is not None and self.runner.stop_one(endpoint_id):
+        if self.runner is not None and self.runner.preempt_run(endpoint_id):
             return
         peers = self.loads.batch_peers(endpoint_id)
         if peers:
@@ -300,7 +300,7 @@
                     self.runner.schedule_soon()
             case PreemptBatch(_, endpoint_id):
                 if self.runner is not None:
-                    self.runner.stop_one(endpoint_id)
+                    self.runner.preempt_run(endpoint_id)
             case JobEnded(_, job_id):
                 self.jobs.apply(f'{END_PREFIX}{job_id}', 0, b'1')
             case CrashNews(_, crashes, cleared):
@@ -347,8 +347,8 @@
         self.jobs.on_job = self.owner.on_job
         timers = self.timers
         timers.subscribe('batch', BATCH_INTERVAL_S, self.batch_tick)
-        timers.subscribe('owners', OWNERSHIP_INTERVAL_S, self.owner.check)
-        timers.subscribe('jobs', FORGET_INTERVAL_S, self.owner.forget_old)
+        timers.subscribe('owners', OWNERSHIP_INTERVAL_S, self.owner.reconcile)
+        timers.subscribe('jobs', FORGET_INTERVAL_S, self.owner.delete_expired)
 
     async def watch_exchanges(self) -> None:
         """End the exchanges whose peer has been silent for too long."""
@@ -357,7 +357,7 @@
     async def batch_tick(self) -> None:
         """Start items and list results."""
         if self.runner is not None:
-            self.runner.joined = self.knows_peers()
+            self.runner.peers_known = self.knows_peers()
             await self.runner.tick()
 
     def knows_peers(self) -> bool:
@@ -365,7 +365,7 @@
 
         Until then the slots that others use are not known.
         """
-        if self.runner is not None and self.runner.joined:
+        if self.runner is not None and self.runner.peers_known:
             return True
         if self.member.owner_id not in self.jobs.members:
             return False
--- a/src/quetzaldyke/gateway/entry_process.py
+++ b/src/quetzaldyke/gateway/entry_process.py
@@ -162,8 +162,8 @@
         Follower(
             entry.store,
             FLEET_PREFIX,
-            entry.jobs.take_snapshot,
-            entry.jobs.take_changes,
+            entry.jobs.apply_snapshot,
+            entry.jobs.apply_changes,
             pause_s=entry.fleet_pause_s,
         ),
     ]
--- a/src/quetzaldyke/gateway/job_api.py
+++ b/src/quetzaldyke/gateway/job_api.py
@@ -12,8 +12,8 @@
 
 from quetzaldyke.gateway.answers import answer, refuse
 from quetzaldyke.gateway.ingress import AsgiCaller, ReceivedRequest
-from quetzaldyke.gateway.job_book import JobView
 from quetzaldyke.gateway.job_store import JobStore
+from quetzaldyke.gateway.job_table import JobView
 from quetzaldyke.gateway.logs import log_event
 from quetzaldyke.gateway.model import Route
 from quetzaldyke.gateway.new_job import NewJob, make_job
@@ -89,7 +89,7 @@
             await answer(caller, STATUS_BAD_REQUEST)
             return
         job_id = raw_id.decode('latin-1')
-        if self.store.book.view_known(job_id):
+        if self.store.table.view_known(job_id):
             await answer(caller, STATUS_ACCEPTED)
             return
         if not self.store_up():
@@ -115,7 +115,7 @@
             job=job_id,
             reason=failure,
             tokens=job.tokens,
-            waiting=self.store.book.waiting_tokens(route.name),
+            waiting=self.store.table.waiting_tokens(route.name),
         )
         if failure == 'unknown':
             await answer(caller, STATUS_BAD_GATEWAY)
--- a/src/quetzaldyke/gateway/job_owner.py
+++ b/src/quetzaldyke/gateway/job_owner.py
@@ -10,9 +10,9 @@
 from result import Ok
 
 from quetzaldyke.gateway.batch_runner import BatchRunner
-from quetzaldyke.gateway.job_book import JobBook
 from quetzaldyke.gateway.job_records import JobState
 from quetzaldyke.gateway.job_store import JobStore
+from quetzaldyke.gateway.job_table import JobTable
 from quetzaldyke.gateway.logs import log_event
 from quetzaldyke.gateway.membership import Ownership
 from quetzaldyke.gateway.new_job import NewJob
@@ -29,7 +29,7 @@
     """The jobs of one entry."""
 
     runner: BatchRunner
-    book: JobBook
+    table: JobTable
     store: JobStore
     ownership: Ownership
     health: StoreHealth
@@ -50,7 +50,7 @@
         """Stop what this entry must not run any more."""
         if job_id not in self.runner.jobs:
             return
-        view = self.book.jobs.get(job_id)
+        view = self.table.jobs.get(job_id)
         if view is None or view.ended:
             self.runner.deactivate(job_id, 'ended')
         elif not self.owns(view.state):
@@ -58,7 +58,7 @@
 
     def run_accepted(self, job: NewJob) -> None:
         """Run a job that this entry has just accepted."""
-        view = self.book.jobs.get(job.record.job_id)
+        view = self.table.jobs.get(job.record.job_id)
         if view is not None and (view.ended or not self.owns(view.state)):
             return
         self.runner.activate(job.record, set(), {}, dict(job.bodies), [])
@@ -67,11 +67,11 @@
         """Tell whether a state names this entry; one not seen yet does."""
         return state is None or state.owner_id == self.owner_id
 
-    async def check(self) -> None:
+    async def reconcile(self) -> None:
         """Run the jobs that this entry owns, and take over orphans."""
         if self.stopping:
             return
-        for view in list(self.book.jobs.values()):
+        for view in list(self.table.jobs.values()):
             if view.open and view.record and self.owns(view.state):
                 await self.activate(view.record.job_id)
         if not self.health.up:
@@ -94,7 +94,7 @@
 
     async def activate(self, job_id: str) -> None:
         """Run a job that this entry owns, from what earlier runs left."""
-        view = self.book.jobs.get(job_id)
+        view = self.table.jobs.get(job_id)
         if view is None or view.record is None or view.state is None:
             return
         if job_id in self.runner.jobs:
@@ -111,18 +111,18 @@
             partials,
         )
 
-    async def forget_old(self) -> None:
+    async def delete_expired(self) -> None:
         """Delete the jobs whose retention is over, on one entry."""
         if not self.health.up:
             return
         oldest_s = time.time() - self.retention_s - RETENTION_MARGIN_S
-        for job_id, view in list(self.book.jobs.items()):
+        for job_id, view in list(self.table.jobs.items()):
             record = view.record
             if record is None or record.accepted_ms > oldest_s * MS_IN_S:
                 continue
             if (
                 view.open
-                or first_for(self.book.members, job_id) != self.owner_id
+                or first_for(self.table.members, job_id) != self.owner_id
             ):
                 continue
             await self.store.delete(job_id)
--- a/src/quetzaldyke/gateway/job_store.py
+++ b/src/quetzaldyke/gateway/job_store.py
@@ -12,7 +12,6 @@
 import anyio
 from result import Err, Ok, Result
 
-from quetzaldyke.gateway.job_book import JobBook, JobView
 from quetzaldyke.gateway.job_records import (
     END_PREFIX,
     JOB_PREFIX,
@@ -29,6 +28,7 @@
     unpack_outputs,
     unpack_partials,
 )
+from quetzaldyke.gateway.job_table import JobTable, JobView
 from quetzaldyke.gateway.model import Route
 from quetzaldyke.gateway.new_job import NewJob, fitting
 from quetzaldyke.gateway.part_cache import PartCache
@@ -57,7 +57,7 @@
     """Jobs in the store, as one entry writes and reads them."""
 
     store: TransactionalStore
-    book: JobBook
+    table: JobTable
     owner_id: str
     instance: str
     cache: PartCache = field(default_factory=PartCache)
@@ -70,7 +70,7 @@
         """Accept a job once; `unknown` if it may have been accepted."""
         uncertain = False
         for _ in range(ACCEPT_TRIES):
-            if self.book.view_known(job.record.job_id):
+            if self.table.view_known(job.record.job_id):
                 return Ok(None)
             fits, condition = self.check_quota(job, route)
             if not fits and not uncertain:
@@ -109,12 +109,12 @@
         limit = route.batch.max_waiting_tokens if route.batch else 0
         if not limit:
             return True, None
-        waiting = self.book.waiting_tokens(route.name) + job.tokens
+        waiting = self.table.waiting_tokens(route.name) + job.tokens
         if waiting > limit:
             return False, None
         if waiting <= limit * UNORDERED_QUOTA_SHARE:
             return True, None
-        return True, self.book.quota_revisions.get(route.name, ABSENT)
+        return True, self.table.quota_revisions.get(route.name, ABSENT)
 
     def acceptance(
         self,
@@ -144,11 +144,11 @@
     async def wait_for_news(self) -> None:
         """Wait until the followed records have moved on."""
         with anyio.move_on_after(VIEW_WAIT_S):
-            await self.book.advanced.wait()
+            await self.table.advanced.wait()
 
     async def find(self, job_id: str) -> Result[JobView | None, KvError]:
         """Return a job, reading it if it was not seen yet."""
-        view = self.book.jobs.get(job_id)
+        view = self.table.jobs.get(job_id)
         if view is not None and view.known:
             return Ok(view)
         job = await self.store.get(f'{JOB_PREFIX}{job_id}')
@@ -161,8 +161,8 @@
             return state
         for record in (job.ok_value, state.ok_value):
             if record is not None:
-                self.book.apply(record.key, record.revision, record.value)
-        return Ok(self.book.view(job_id))
+                self.table.apply(record.key, record.revision, record.value)
+        return Ok(self.table.view(job_id))
 
     async def end(self, job_id: str) -> Result[bool, KvError]:
         """End a job; False when there is no such job."""
@@ -179,7 +179,7 @@
         )
         if isinstance(written, Err):
             return written
-        self.book.apply(key, written.ok_value, b'1')
+        self.table.apply(key, written.ok_value, b'1')
         return Ok(True)
 
     async def list_results(
@@ -189,7 +189,7 @@
         failures: dict[int, int],
     ) -> Result[None, KvError]:
         """Append results to a job that this entry owns."""
-        view = self.book.view(job_id)
+        view = self.table.view(job_id)
         state = view.state
         if state is None or state.owner_id != self.owner_id:
             return Err(KvError('conflict', 'another entry owns the job'))
@@ -208,7 +208,7 @@
             ),
         )
         if isinstance(written, Ok):
-            self.book.apply(key, written.ok_value, after.pack())
+            self.table.apply(key, written.ok_value, after.pack())
             self.cache.put(part_key, part)
             return Ok(None)
         await self.refresh_state(job_id)
@@ -220,7 +220,7 @@
         answer = await self.store.get(key)
         if isinstance(answer, Ok) and answer.ok_value is not None:
             record = answer.ok_value
-            self.book.apply(key, record.revision, record.value)
+            self.table.apply(key, record.revision, record.value)
 
     async def take_over(self, job_id: str) -> Result[None, KvError]:
         """Become the owner of a job whose owner is gone."""
@@ -248,7 +248,7 @@
         partials: list[PartialOutput] | None,
     ) -> Result[None, KvError]:
         """Change the owner of a job."""
-        view = self.book.view(job_id)
+        view = self.table.view(job_id)
         if view.state is None:
             return Err(KvError('unavailable', 'state not seen'))
         state = replace(
@@ -268,7 +268,7 @@
         if isinstance(written, Err):
             await self.refresh_state(job_id)
             return written
-        self.book.apply(key, written.ok_value, state.pack())
+        self.table.apply(key, written.ok_value, state.pack())
         return Ok(None)
 
     async def save_partials(
@@ -277,7 +277,7 @@
         partials: list[PartialOutput],
     ) -> Result[None, KvError]:
         """Keep what the runs of a job produced, for the next owner."""
-        view = self.book.view(job_id)
+        view = self.table.view(job_id)
         key = f'{STATE_PREFIX}{job_id}'
         written = await self.store.transact(
             Transaction(
@@ -301,7 +301,7 @@
 
     async def delete(self, job_id: str) -> None:
         """Delete everything about a job; what remains is deleted later."""
-        view = self.book.view(job_id)
+        view = self.table.view(job_id)
         parts = view.state.parts if view.state else 0
         bodies = 1
         if view.record is not None and view.record.items:
--- a/src/quetzaldyke/gateway/job_book.py
+++ b/src/quetzaldyke/gateway/job_table.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True)
-class JobBook:
+class JobTable:
     """Jobs, members and quota revisions."""
 
     jobs: dict[str, JobView] = field(default_factory=dict)
@@ -74,7 +74,7 @@
     on_job: Callable[[str], None] = lambda job_id: None
     on_members: Callable[[], None] = lambda: None
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
         """Take over a whole list."""
         present = {record.key for record in snapshot.records}
         for owner_id in list(self.members):
@@ -87,7 +87,9 @@
             self.apply(record.key, record.revision, record.value)
         self.advance(snapshot.revision)
 
-    def take_changes(self, changes: list[WatchedChange], revision: int) -> None:
+    def apply_changes(
+        self, changes: list[WatchedChange], revision: int
+    ) -> None:
         """Take over changes in order."""
         for change in changes:
             self.apply(change.key, change.revision, change.value)
--- a/src/quetzaldyke/gateway/membership.py
+++ b/src/quetzaldyke/gateway/membership.py
@@ -15,8 +15,8 @@
 
 from result import Err
 
-from quetzaldyke.gateway.job_book import JobBook, JobView
 from quetzaldyke.gateway.job_records import MEMBER_PREFIX, Member
+from quetzaldyke.gateway.job_table import JobTable, JobView
 from quetzaldyke.gateway.logs import log_event
 from quetzaldyke.parts.rendezvous import first_for
 from quetzaldyke.parts.transactions import (
@@ -86,15 +86,15 @@
 class Ownership:
     """Decides which jobs without an owner this entry takes over."""
 
-    book: JobBook
+    table: JobTable
     member: Member
     # When an owner was first seen to be missing.
     missing_since: dict[str, float]
 
     @classmethod
-    def of(cls, book: JobBook, member: Member) -> Ownership:
+    def of(cls, table: JobTable, member: Member) -> Ownership:
         """Start without suspicions."""
-        return cls(book, member, {})
+        return cls(table, member, {})
 
     def orphans(
         self,
@@ -106,10 +106,10 @@
 
         `alive` are the entries whose reports arrive.
         """
-        members = self.book.members
+        members = self.table.members
         owners = {
             view.state.owner_id: view.state.owner_instance
-            for view in self.book.jobs.values()
+            for view in self.table.jobs.values()
             if view.open and view.state is not None
         }
         gone = {
@@ -126,7 +126,7 @@
             }
         return [
             job_id
-            for job_id, view in self.book.jobs.items()
+            for job_id, view in self.table.jobs.items()
             if view.open and self.is_mine(job_id, view, gone)
         ]
 
@@ -142,7 +142,7 @@
             return False
         if self.is_predecessor(instance):
             return True
-        if owner_id in self.book.members or owner_id in alive:
+        if owner_id in self.table.members or owner_id in alive:
             self.missing_since.pop(owner_id, None)
             return False
         since_s = self.missing_since.setdefault(owner_id, now_s)
@@ -164,5 +164,5 @@
             return False
         if self.is_predecessor(view.state.owner_instance):
             return True
-        candidates = {*self.book.members, self.member.owner_id}
+        candidates = {*self.table.members, self.member.owner_id}
         return first_for(candidates, job_id) == self.member.owner_id
--- a/tests/gateway_kit.py
+++ b/tests/gateway_kit.py
@@ -10,9 +10,9 @@
 
 from quetzaldyke.gateway.dispatcher import Dispatcher
 from quetzaldyke.gateway.endpoints import EndpointBook
-from quetzaldyke.gateway.job_book import JobBook
 from quetzaldyke.gateway.job_records import FLEET_PREFIX
 from quetzaldyke.gateway.job_store import JobStore
+from quetzaldyke.gateway.job_table import JobTable
 from quetzaldyke.gateway.loads import LoadTable, Running
 from quetzaldyke.gateway.model import (
     BatchTerms,
@@ -107,7 +107,9 @@
     )
 
 
-def use(loads: LoadTable, endpoint_id: str, online: int, batch: int) -> None:
+def set_running(
+    loads: LoadTable, endpoint_id: str, online: int, batch: int
+) -> None:
     """Set this entry's counts of an endpoint."""
     loads.own[endpoint_id] = Running(online, batch)
 
@@ -218,16 +220,16 @@
     """The batch side of one entry over a shared store."""
 
     store: JobStore
-    book: JobBook
+    table: JobTable
 
     @classmethod
     def of(cls, store: FakeStore, owner_id: str) -> Node:
         """Return a node that has seen nothing yet."""
-        book = JobBook()
-        return cls(JobStore(store, book, owner_id, f'i-{owner_id}'), book)
+        table = JobTable()
+        return cls(JobStore(store, table, owner_id, f'i-{owner_id}'), table)
 
     async def see(self) -> None:
         """See every change so far."""
         answer = await self.store.store.list_prefix(FLEET_PREFIX)
         assert isinstance(answer, Ok)
-        self.book.take_snapshot(answer.ok_value)
+        self.table.apply_snapshot(answer.ok_value)
--- a/tests/test_gateway_batch.py
+++ b/tests/test_gateway_batch.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gateway_kit import make_endpoint, use
+from gateway_kit import make_endpoint, set_running
 from quetzaldyke.gateway.batch_schedule import (
     BatchPolicy,
     Candidate,
@@ -16,13 +16,13 @@
     pair,
     start_order,
 )
-from quetzaldyke.gateway.job_book import JobBook
 from quetzaldyke.gateway.job_records import (
     ItemRecord,
     JobRecord,
     JobState,
     Member,
 )
+from quetzaldyke.gateway.job_table import JobTable
 from quetzaldyke.gateway.loads import LoadTable, Running
 from quetzaldyke.gateway.membership import (
     OUTAGE_GRACE_S,
@@ -80,7 +80,7 @@
 def test_only_the_largest_holder_yields() -> None:
     """Guards against all entries stopping runs for one online request."""
     policy = make_policy()
-    use(policy.loads, 'e1', online=0, batch=2)
+    set_running(policy.loads, 'e1', online=0, batch=2)
     policy.loads.take_report('p', {'e1': Running(2, 1)}, {}, 0, now_s=1.0)
     assert policy.surplus('e1', slots=4) == 1
     policy.loads.take_report('p', {'e1': Running(0, 3)}, {}, 0, now_s=1.0)
@@ -95,7 +95,7 @@
 ) -> None:
     """Guards against batch work that is stopped without need."""
     policy = make_policy()
-    use(policy.loads, 'e1', online, batch)
+    set_running(policy.loads, 'e1', online, batch)
     surplus = policy.surplus('e1', slots)
     assert 0 <= surplus <= batch
     assert surplus == min(batch, max(0, online + batch - slots))
@@ -143,34 +143,34 @@
 OTHER = Member('you', 'i-you', '127.0.0.1', 2)
 
 
-def book_with(owner: Member, *members: Member) -> JobBook:
+def table_with(owner: Member, *members: Member) -> JobTable:
     """Return a book with one open job of an owner."""
-    book = JobBook()
+    table = JobTable()
     item = ItemRecord('x', '/p/x', (), 1, 0, 0, 0)
-    view = book.view('j')
+    view = table.view('j')
     view.record = JobRecord('j', 'r', 'h', 0, (item,))
     view.state = JobState(owner.owner_id, owner.instance)
-    book.members = {one.owner_id: one for one in members}
-    return book
+    table.members = {one.owner_id: one for one in members}
+    return table
 
 
 def test_job_of_a_lost_entry_is_taken_over() -> None:
     """Guards against jobs that nobody runs after their entry died."""
-    ownership = Ownership.of(book_with(OTHER, OWN), OWN)
+    ownership = Ownership.of(table_with(OTHER, OWN), OWN)
     assert not ownership.orphans(10.0, 0.0, ())
     assert ownership.orphans(10.1 + OWNER_GRACE_S, 0.0, ()) == ['j']
 
 
 def test_job_of_an_entry_that_sent_since_stays() -> None:
     """Guards against takeovers when only a lease was lost."""
-    ownership = Ownership.of(book_with(OTHER, OWN), OWN)
+    ownership = Ownership.of(table_with(OTHER, OWN), OWN)
     ownership.orphans(10.0, 0.0, {'you'})
     assert not ownership.orphans(20.0, 0.0, {'you'})
 
 
 def test_no_takeover_right_after_an_outage() -> None:
     """Guards against a storm of takeovers when leases lapsed in an outage."""
-    ownership = Ownership.of(book_with(OTHER, OWN), OWN)
+    ownership = Ownership.of(table_with(OTHER, OWN), OWN)
     well_since_s = 10.0
     ownership.orphans(10.1, well_since_s, ())
     early_s = well_since_s + OUTAGE_GRACE_S - 0.1
@@ -181,7 +181,7 @@
 def test_job_of_the_own_predecessor_is_taken_at_once() -> None:
     """Guards against waiting for the lease of a process that is dead."""
     before = Member('old', OWN.instance, '127.0.0.1', 1)
-    ownership = Ownership.of(book_with(before, before, OWN), OWN)
+    ownership = Ownership.of(table_with(before, before, OWN), OWN)
     assert ownership.orphans(1.0, 0.9, ()) == ['j']
 
 
@@ -191,9 +191,9 @@
         member
         for member in (OWN, OTHER)
         if Ownership.of(
-            book_with(Member('x', 'i-x', '', 0), OWN, OTHER),
+            table_with(Member('x', 'i-x', '', 0), OWN, OTHER),
             member,
-        ).is_mine('j', book_with(Member('x', 'i-x', '', 0)).view('j'), {'x'})
+        ).is_mine('j', table_with(Member('x', 'i-x', '', 0)).view('j'), {'x'})
     ]
     assert len(successors) == 1
 
@@ -201,6 +201,6 @@
 @pytest.mark.parametrize('ended', [True, False])
 def test_ended_job_has_no_waiting_tokens(ended: bool) -> None:
     """Guards against a quota that ended jobs fill for ever."""
-    book = book_with(OWN, OWN)
-    book.view('j').ended = ended
-    assert book.waiting_tokens('r') == (0 if ended else 1)
+    table = table_with(OWN, OWN)
+    table.view('j').ended = ended
+    assert table.waiting_tokens('r') == (0 if ended else 1)
--- a/tests/test_gateway_jobs.py
+++ b/tests/test_gateway_jobs.py
@@ -71,7 +71,7 @@
     other = Node.of(store, 'b')
     assert await other.store.accept(new_job(), make_route('batch')) == Ok(None)
     await other.see()
-    state = other.book.view('j').state
+    state = other.table.view('j').state
     assert state is not None
     assert state.owner_id == 'a'
 
@@ -109,7 +109,7 @@
     node = await accepted_node(FakeStore())
     await node.store.list_results('j', [(2, True, b'two')], {})
     await node.store.list_results('j', [(0, False, b''), (1, True, b'one')], {})
-    state = node.book.view('j').state
+    state = node.table.view('j').state
     assert state is not None
     assert [one.item for one in state.listed] == [2, 0, 1]
     outputs = await node.store.read_outputs('j', state.listed[0].part)
@@ -152,7 +152,7 @@
             await node.store.list_results('j', [(item, True, b'x')], {})
         fresh = Node.of(store, 'reader')
         await fresh.see()
-        state = fresh.book.view('j').state
+        state = fresh.table.view('j').state
         assert state is not None
         items = [one.item for one in state.listed]
         assert len(items) == len(set(items))
@@ -173,7 +173,7 @@
     assert await successor.store.take_over('j') == Ok(None)
     answer = await old.store.list_results('j', [(0, True, b'x')], {})
     assert isinstance(answer, Err)
-    state = successor.book.view('j').state
+    state = successor.table.view('j').state
     assert state is not None
     assert not state.listed
 
@@ -187,7 +187,7 @@
     assert await node.store.hand_over('j', successor, partials) == Ok(None)
     other = Node.of(store, 'b')
     await other.see()
-    state = other.book.view('j').state
+    state = other.table.view('j').state
     assert state is not None
     assert state.owner_id == 'b'
     assert await other.store.read_partials('j') == partials
@@ -201,7 +201,7 @@
     assert await other.store.end('j') == Ok(True)
     assert await other.store.end('j') == Ok(True)
     await node.see()
-    assert not node.book.view('j').open
+    assert not node.table.view('j').open
     assert await other.store.end('unknown') == Ok(False)
 
 
--- a/tests/test_gateway_routing.py
+++ b/tests/test_gateway_routing.py
@@ -15,7 +15,7 @@
     make_dispatcher,
     make_endpoint,
     make_route,
-    use,
+    set_running,
 )
 from quetzaldyke.gateway.endpoints import LAPSE_GRACE_S, EndpointBook
 from quetzaldyke.gateway.loads import LoadTable, Running
@@ -222,7 +222,7 @@
 def test_free_slot_elsewhere_before_a_full_one_here() -> None:
     """Guards against a line at home while another domain is idle."""
     loads = LoadTable()
-    use(loads, 'near', online=4, batch=0)
+    set_running(loads, 'near', online=4, batch=0)
     near = make_endpoint('near', failure_domain='a')
     far = make_endpoint('far', failure_domain='b')
     chosen = policy_of(loads).choose([far, near], 2)
@@ -233,8 +233,8 @@
 def test_batch_yields_in_a_burst() -> None:
     """Guards against online requests that wait behind batch runs."""
     loads = LoadTable()
-    use(loads, 'e1', online=1, batch=3)
-    use(loads, 'e2', online=3, batch=1)
+    set_running(loads, 'e1', online=1, batch=3)
+    set_running(loads, 'e2', online=3, batch=1)
     endpoints = [make_endpoint('e1'), make_endpoint('e2')]
     chosen = policy_of(loads).choose(endpoints, 1)
     assert chosen is not None
@@ -245,7 +245,7 @@
 def test_full_of_online_requests_means_waiting() -> None:
     """Guards against unbounded queues in the engines."""
     loads = LoadTable()
-    use(loads, 'e1', online=5, batch=0)
+    set_running(loads, 'e1', online=5, batch=0)
     assert policy_of(loads).choose([make_endpoint('e1')], 1) is None
 
 
@@ -265,7 +265,7 @@
     loads = LoadTable()
     endpoints = []
     for number, (online, batch) in enumerate(used):
-        use(loads, f'e{number}', online, batch)
+        set_running(loads, f'e{number}', online, batch)
         endpoints.append(make_endpoint(f'e{number}'))
     chosen = policy_of(loads).choose(endpoints, queue_allowed)
     has_free = any(sum(row) < 4 for row in used)
--- a/tests/test_gateway_waiting.py
+++ b/tests/test_gateway_waiting.py
@@ -13,7 +13,7 @@
     make_dispatcher,
     make_endpoint,
     make_route,
-    use,
+    set_running,
 )
 from quetzaldyke.gateway.waiting_line import Waiter, WaitingLine, may_wait
 
@@ -123,7 +123,7 @@
     """Guards against callers held until their objective is lost."""
     time = FakeTime()
     dispatcher = make_dispatcher(time, make_endpoint('e1'))
-    use(dispatcher.loads, 'e1', online=9, batch=0)
+    set_running(dispatcher.loads, 'e1', online=9, batch=0)
     dispatcher.loads.take_report('p', {}, {'lm': 50}, 0, time.now_s)
     placed = await dispatcher.place('lm', make_route(), time.now_s + 5, ())
     assert isinstance(placed, Err)
@@ -135,9 +135,9 @@
     """Guards against callers kept for a slot that comes too late."""
     time = FakeTime()
     dispatcher = make_dispatcher(time, make_endpoint('e1'))
-    use(dispatcher.loads, 'e1', online=4, batch=3)
+    set_running(dispatcher.loads, 'e1', online=4, batch=3)
     without = dispatcher.expected_wait_s('lm')
-    use(dispatcher.loads, 'e1', online=6, batch=0)
+    set_running(dispatcher.loads, 'e1', online=6, batch=0)
     assert dispatcher.expected_wait_s('lm') == pytest.approx(3 * without)
 
 
