--- a/src/quetzaldyke/gateway/active_job.py
+++ b/src/quetzaldyke/gateway/active_job.py
@@ -1,4 +1,4 @@
-"""A job that this entry runs: its items and their progress."""
+"""The items of a job that this entry runs, and their progress."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from quetzaldyke.gateway.batch_schedule import Candidate, RunTimes
+from quetzaldyke.gateway.batch_schedule import Candidate, RunTimeEstimator
 from quetzaldyke.gateway.event_stream import EventSplitter
 from quetzaldyke.gateway.exchange import Exchange
 from quetzaldyke.gateway.job_records import (
@@ -21,14 +21,14 @@
 
 @dataclass(slots=True)
 class ItemProgress:
-    """One item that has no result yet."""
+    """An item whose result is not yet written, and its runs so far."""
 
     item: int
     record: ItemRecord
     splitter: EventSplitter = field(default_factory=EventSplitter)
     outputs: list[bytes] = field(default_factory=list)
     failures: int = 0
-    # Endpoints at which this entry saw it fail.
+    # Endpoints on which it failed in runs by this entry.
     failed_at: frozenset[str] = frozenset()
     not_before_s: float = 0.0
     exchange: Exchange | None = None
@@ -38,13 +38,13 @@
 
     @property
     def events_done(self) -> int:
-        """Return the number of the last event."""
+        """Return the number of the last event, 0 before the first."""
         return self.splitter.last_id or 0
 
 
 @dataclass(frozen=True, slots=True)
 class FinishedItem:
-    """A result that is not listed yet."""
+    """A result that is not yet written to the store."""
 
     item: int
     completed: bool
@@ -61,7 +61,7 @@
     bodies: dict[int, bytes]
     finished: list[FinishedItem] = field(default_factory=list)
     finished_since_s: float = 0.0
-    listing: bool = False
+    appending: bool = False
     stopped: bool = False
     saving: bool = False
     saved_s: float = 0.0
@@ -75,41 +75,43 @@
         return self.record.accepted_ms + target_ms
 
     @property
-    def give_up_ms(self) -> float:
-        """Return the Unix time from which items may be given up."""
+    def expires_ms(self) -> float:
+        """Return the Unix time from which unfinished items may be failed."""
         assert self.route.batch is not None
         return self.record.accepted_ms + self.route.batch.max_wait_s * MS_IN_S
 
-    def candidates(self, now_s: float, times: RunTimes) -> list[Candidate]:
-        """Return the items that could start now."""
+    def candidates(
+        self, now_s: float, estimator: RunTimeEstimator
+    ) -> list[Candidate]:
+        """Return the items that are ready to start."""
         left_s = self.due_ms / MS_IN_S - time.time()
         return [
             Candidate(
                 self.record.job_id,
-                one.item,
+                progress.item,
                 self.due_ms,
-                one.events_done,
-                left_s < times.left_s(one.events_done),
-                one.failed_at,
+                progress.events_done,
+                left_s < estimator.remaining_s(progress.events_done),
+                progress.failed_at,
             )
-            for one in self.items.values()
-            if not one.running
-            and not one.finished
-            and one.not_before_s <= now_s
+            for progress in self.items.values()
+            if not progress.running
+            and not progress.finished
+            and progress.not_before_s <= now_s
         ]
 
     def running(self) -> int:
-        """Return how many items run."""
-        return sum(one.running for one in self.items.values())
+        """Return how many items are running."""
+        return sum(progress.running for progress in self.items.values())
 
     def partials(self) -> list[PartialOutput]:
-        """Return what the runs of unfinished items produced."""
+        """Return the partial outputs of the unfinished items."""
         return [
             PartialOutput(
-                one.item,
-                one.splitter.last_id or 0,
-                b'\n'.join(one.outputs),
+                progress.item,
+                progress.splitter.last_id or 0,
+                b'\n'.join(progress.outputs),
             )
-            for one in self.items.values()
-            if one.outputs and not one.finished
+            for progress in self.items.values()
+            if progress.outputs and not progress.finished
         ]
--- a/src/quetzaldyke/gateway/batch_runner.py
+++ b/src/quetzaldyke/gateway/batch_runner.py
@@ -1,4 +1,4 @@
-"""Runs the items of the jobs that this entry owns."""
+"""Schedules and runs the items of the jobs that this entry owns."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
     BatchPolicy,
     Candidate,
     Demand,
-    RunTimes,
-    pair,
+    RunTimeEstimator,
+    assign_endpoints,
     start_order,
 )
 from quetzaldyke.gateway.dispatcher import Dispatcher, Place
@@ -37,11 +37,11 @@
 from quetzaldyke.platform import names
 
 MS_IN_S: Final = 1000
-# News within this time share one look at the free slots.
+# Changes within this time share one scheduling pass.
 SCHEDULE_DELAY_S: Final = 0.004
-# A lost entry costs at most this much of the work of its runs.
+# Time between saves: a lost entry costs at most this much of its runs' work.
 PARTIALS_INTERVAL_S: Final = 2.0
-# Events that make it worth while to keep them.
+# Partial outputs are saved only if they have changed by this many events.
 MIN_NEW_EVENTS: Final = 30
 # Results wait this long for others of their job, to share one write.
 RESULT_DELAY_S: Final = 0.7
@@ -49,59 +49,59 @@
 
 @dataclass(slots=True)
 class BatchRunner:
-    """Active jobs of one entry."""
+    """Schedules the active jobs of one entry."""
 
     dispatcher: Dispatcher
     client: HttpClient
     store: JobStore
     policy: BatchPolicy
     group: TaskGroup
-    # How old the news about other entries may be.
-    news_age_s: Callable[[], float]
+    # How old the load reports of other entries may be.
+    report_age_s: Callable[[], float]
     find_route: Callable[[str], Route | None]
     jobs: dict[str, ActiveJob] = field(default_factory=dict)
-    # Set at a planned stop: nothing new starts.
+    # Set at a planned shutdown: no more items start.
     stopping: bool = False
-    # Whether the peers' use of the endpoints is known.
+    # Whether the peers' use of the endpoints is known; no items start before.
     peers_known: bool = False
-    handle: asyncio.TimerHandle | None = None
-    times: RunTimes = field(default_factory=RunTimes)
+    timer: asyncio.TimerHandle | None = None
+    estimator: RunTimeEstimator = field(default_factory=RunTimeEstimator)
     run_context: RunContext = field(init=False)
 
     def __post_init__(self) -> None:
-        """Share what all runs need."""
+        """Build the context that all runs share."""
         self.run_context = RunContext(
             self.dispatcher,
             self.client,
             self.store,
-            self.times,
-            self.finish,
+            self.estimator,
+            self.finish_item,
         )
 
     def pending(self) -> int:
-        """Return how many items could start, were there room."""
+        """Return how many items could start if there were free slots."""
         return sum(
-            not one.running and not one.finished
+            not progress.running and not progress.finished
             for job in self.jobs.values()
-            for one in job.items.values()
+            for progress in job.items.values()
         )
 
     def activate(
         self,
         record: JobRecord,
-        listed: set[int],
+        done: set[int],
         failures: dict[int, int],
         bodies: dict[int, bytes],
         partials: list[PartialOutput],
     ) -> None:
-        """Run the items of a job that have no result."""
+        """Run items not in `done`, unless the job is active or has no route."""
         route = self.find_route(record.route)
         if route is None or record.job_id in self.jobs:
             return
         items = {
             index: ItemProgress(index, item, failures=failures.get(index, 0))
             for index, item in enumerate(record.items)
-            if index not in listed
+            if index not in done
         }
         for partial in partials:
             if partial.item in items:
@@ -114,20 +114,20 @@
             'job_activated',
             job=record.job_id,
             items=len(items),
-            listed=len(listed),
+            listed=len(done),
             begun=len(partials),
         )
         self.schedule_soon()
 
     def deactivate(self, job_id: str, reason: str) -> None:
-        """Stop all runs of a job."""
+        """Cancel all runs of a job and drop its unwritten results."""
         job = self.jobs.pop(job_id, None)
         if job is None:
             return
         job.stopped = True
-        for one in job.items.values():
-            if one.exchange is not None:
-                one.exchange.cancel()
+        for progress in job.items.values():
+            if progress.exchange is not None:
+                progress.exchange.cancel()
         log_event(
             'job_deactivated',
             job=job_id,
@@ -136,17 +136,17 @@
         )
 
     def schedule_soon(self) -> None:
-        """Look at the free slots shortly."""
-        if self.handle is None and self.jobs:
+        """Request a scheduling pass after a short delay."""
+        if self.timer is None and self.jobs:
             loop = asyncio.get_running_loop()
-            self.handle = loop.call_later(SCHEDULE_DELAY_S, self.schedule)
+            self.timer = loop.call_later(SCHEDULE_DELAY_S, self.schedule)
 
     def schedule(self) -> None:
-        """Preempt where needed, then start items on free slots."""
-        if self.handle is not None:
-            self.handle.cancel()
-        self.handle = None
-        self.preempt_surplus()
+        """Preempt runs on overfull endpoints, then fill free slots."""
+        if self.timer is not None:
+            self.timer.cancel()
+        self.timer = None
+        self.preempt_excess_runs()
         if self.stopping or not self.peers_known or not self.jobs:
             return
         now_s = self.dispatcher.clock.now()
@@ -154,7 +154,7 @@
         for job in self.jobs.values():
             service = job.route.services[0].service
             by_service.setdefault(service, []).extend(
-                job.candidates(now_s, self.times)
+                job.candidates(now_s, self.estimator)
             )
         for service, candidates in by_service.items():
             if candidates:
@@ -166,27 +166,27 @@
         candidates: list[Candidate],
         now_s: float,
     ) -> None:
-        """Start the most urgent items on the emptiest endpoints."""
+        """Start the most urgent items, unless online requests are waiting."""
         if len(self.dispatcher.line(service)):
             return
         usable = self.dispatcher.book.usable(service, now_s)
         demand = Demand(
             len(candidates),
             self.dispatcher.loads.pending_elsewhere(),
-            self.news_age_s(),
+            self.report_age_s(),
         )
-        rooms = self.policy.rooms(usable, demand, now_s)
-        usable_ids = {one.endpoint_id for one in usable}
+        slots = self.policy.allocate_slots(usable, demand, now_s)
+        usable_ids = {endpoint.endpoint_id for endpoint in usable}
         ordered = start_order(candidates)
-        for candidate, endpoint in pair(ordered, rooms, usable_ids):
+        for candidate, endpoint in assign_endpoints(ordered, slots, usable_ids):
             job = self.jobs[candidate.job_id]
             progress = job.items[candidate.item]
             progress.running = True
             place = self.dispatcher.take(endpoint, online=False)
             self.group.start_soon(self.run_item, job, progress, place)
 
-    def preempt_surplus(self) -> None:
-        """Stop own runs on endpoints that hold too many requests."""
+    def preempt_excess_runs(self) -> None:
+        """Cancel own runs on endpoints with more requests than slots."""
         for endpoint_id, running in list(self.dispatcher.loads.own.items()):
             if not running.batch:
                 continue
@@ -194,20 +194,20 @@
             if belief is None:
                 continue
             slots = belief.endpoint.slots
-            for _ in range(self.policy.surplus(endpoint_id, slots)):
+            for _ in range(self.policy.runs_to_preempt(endpoint_id, slots)):
                 self.preempt_run(endpoint_id)
 
     def preempt_run(self, endpoint_id: str) -> bool:
-        """Stop the run on an endpoint that has done least."""
+        """Cancel the run due last, with the fewest events; False if none."""
         runs = [
-            (-job.due_ms, one.events_done, number, one)
+            (-job.due_ms, progress.events_done, index, progress)
             for job in self.jobs.values()
-            for number, one in job.items.items()
-            if one.running
-            and one.endpoint_id == endpoint_id
-            and one.exchange is not None
-            and one.exchange.failure is None
-            and not one.exchange.complete
+            for index, progress in job.items.items()
+            if progress.running
+            and progress.endpoint_id == endpoint_id
+            and progress.exchange is not None
+            and progress.exchange.failure is None
+            and not progress.exchange.complete
         ]
         if not runs:
             return False
@@ -228,7 +228,7 @@
         progress: ItemProgress,
         place: Place,
     ) -> None:
-        """Run an item; a fault in one run must not end the entry."""
+        """Run an item; logs any exception, so that it can't end the entry."""
         exchange = Exchange(names.ATTEMPT_ID, progress.record.item_id.encode())
         progress.endpoint_id = place.endpoint.endpoint_id
         progress.exchange = exchange
@@ -236,7 +236,7 @@
         try:
             await run.run()
         except Exception as exc:
-            run.wait_before_retry()
+            run.delay_retry()
             log_event(
                 'item_run_fault',
                 item=progress.record.item_id,
@@ -246,19 +246,19 @@
             self.end_run(progress, place)
 
     def end_run(self, progress: ItemProgress, place: Place) -> None:
-        """Give the place back and look for the next item."""
+        """Release the slot of a run and request a scheduling pass."""
         progress.running = False
         progress.exchange = None
         self.dispatcher.release(place)
         self.schedule_soon()
 
-    def finish(
+    def finish_item(
         self,
         job: ActiveJob,
         progress: ItemProgress,
         completed: bool,
     ) -> None:
-        """Keep a result until it is listed."""
+        """Keep the result of an item until it is written to the store."""
         progress.finished = True
         output = b'\n'.join(progress.outputs) if completed else b''
         if not job.finished:
@@ -274,26 +274,26 @@
         )
 
     async def tick(self) -> None:
-        """Start items, give up those that are too old, list results."""
+        """Start items, fail expired ones, and write results that are due."""
         self.schedule()
         now_s = self.dispatcher.clock.now()
         for job in list(self.jobs.values()):
-            self.give_up_old(job)
-            self.save_if_due(job, now_s)
-            if not job.finished or job.listing:
+            self.fail_expired(job)
+            self.save_partials_if_due(job, now_s)
+            if not job.finished or job.appending:
                 continue
             waited_s = now_s - job.finished_since_s
-            alone = all(one.finished for one in job.items.values())
-            if alone or waited_s >= RESULT_DELAY_S:
-                job.listing = True
-                self.group.start_soon(self.list_results, job)
+            all_finished = all(item.finished for item in job.items.values())
+            if all_finished or waited_s >= RESULT_DELAY_S:
+                job.appending = True
+                self.group.start_soon(self.append_results, job)
 
-    def save_if_due(self, job: ActiveJob, now_s: float) -> None:
-        """Keep partial outputs now and then."""
+    def save_partials_if_due(self, job: ActiveJob, now_s: float) -> None:
+        """Save partial outputs if the interval and enough events passed."""
         if job.saving or now_s - job.saved_s < PARTIALS_INTERVAL_S:
             return
         partials = job.partials()
-        events = sum(one.last_event for one in partials)
+        events = sum(partial.last_event for partial in partials)
         if abs(events - job.saved_events) < MIN_NEW_EVENTS:
             return
         job.saving = True
@@ -306,7 +306,7 @@
         job: ActiveJob,
         partials: list[PartialOutput],
     ) -> None:
-        """Write partial outputs to the store."""
+        """Write partial outputs to the store; logs a failure."""
         try:
             saved = await self.store.save_partials(job.record.job_id, partials)
         finally:
@@ -319,7 +319,7 @@
             )
 
     async def hand_over_all(self, successors: Sequence[Member]) -> None:
-        """Stop all runs and give the jobs to other entries."""
+        """Stop scheduling and hand all jobs over to other entries."""
         self.stopping = True
         for job_id in list(self.jobs):
             await self.hand_over(job_id, successors)
@@ -327,22 +327,22 @@
     async def hand_over(
         self, job_id: str, successors: Sequence[Member]
     ) -> None:
-        """Give a job with its results and partial outputs to another."""
+        """Cancel a job's runs, write its results and change its owner."""
         job = self.jobs.get(job_id)
         if job is None:
             return
-        for one in job.items.values():
-            if one.exchange is not None:
-                one.exchange.cancel()
-        while job.listing:
+        for progress in job.items.values():
+            if progress.exchange is not None:
+                progress.exchange.cancel()
+        while job.appending:
             await anyio.sleep(SCHEDULE_DELAY_S)
         if job.finished:
-            job.listing = True
-            await self.list_results(job)
+            job.appending = True
+            await self.append_results(job)
         if not job.items or not successors:
             return
-        chosen = first_for([one.owner_id for one in successors], job_id)
-        successor = next(one for one in successors if one.owner_id == chosen)
+        chosen = first_for([peer.owner_id for peer in successors], job_id)
+        successor = next(peer for peer in successors if peer.owner_id == chosen)
         handed = await self.store.hand_over(job_id, successor, job.partials())
         log_event(
             'job_handed_over',
@@ -352,46 +352,46 @@
             outcome='ok' if isinstance(handed, Ok) else str(handed.err_value),
         )
 
-    def give_up_old(self, job: ActiveJob) -> None:
-        """Give up the items of a job whose longest wait is over."""
-        if time.time() * MS_IN_S < job.give_up_ms:
+    def fail_expired(self, job: ActiveJob) -> None:
+        """Fail the idle items of a job whose maximum wait is over."""
+        if time.time() * MS_IN_S < job.expires_ms:
             return
-        for one in job.items.values():
-            if not one.finished and not one.running:
-                self.finish(job, one, False)
+        for progress in job.items.values():
+            if not progress.finished and not progress.running:
+                self.finish_item(job, progress, False)
 
-    async def list_results(self, job: ActiveJob) -> None:
-        """Write finished items to the store."""
-        batch = list(job.finished)
+    async def append_results(self, job: ActiveJob) -> None:
+        """Append finished items to the results in the store; may be retried."""
+        results = list(job.finished)
         try:
-            listed = await self.store.list_results(
+            appended = await self.store.append_results(
                 job.record.job_id,
-                [(one.item, one.completed, one.output) for one in batch],
+                [(row.item, row.completed, row.output) for row in results],
                 {
-                    one.item: one.failures
-                    for one in job.items.values()
-                    if one.failures and not one.finished
+                    progress.item: progress.failures
+                    for progress in job.items.values()
+                    if progress.failures and not progress.finished
                 },
             )
         finally:
-            job.listing = False
-        if isinstance(listed, Err):
+            job.appending = False
+        if isinstance(appended, Err):
             log_event(
                 'results_not_listed',
                 job=job.record.job_id,
-                results=len(batch),
-                reason=str(listed.err_value),
+                results=len(results),
+                reason=str(appended.err_value),
             )
             job.finished_since_s = self.dispatcher.clock.now()
             return
-        del job.finished[: len(batch)]
-        for one in batch:
-            job.items.pop(one.item, None)
+        del job.finished[: len(results)]
+        for row in results:
+            job.items.pop(row.item, None)
         job.finished_since_s = self.dispatcher.clock.now()
         log_event(
             'results_listed',
             job=job.record.job_id,
-            results=len(batch),
+            results=len(results),
             left=len(job.items),
         )
         if not job.items:
--- a/src/quetzaldyke/gateway/batch_schedule.py
+++ b/src/quetzaldyke/gateway/batch_schedule.py
@@ -1,18 +1,19 @@
-"""When batch items start, and which of them yield to online requests.
+"""Decides when batch items start and which yield to online requests.
 
-Load pattern: batch items run for seconds on engines whose slots online
-bursts need within milliseconds, and several entries fill the same slots.
+Load pattern: batch items run for seconds on engines whose slots a burst of
+online requests needs within milliseconds, and several entries fill the same
+slots.
 
 Items start on every free slot, the job that is due first before the others.
-When there is too much work, items whose job can't be on time any more go
-behind those whose job can. All entries see the same free slots at the same
-moment, so each takes only its share of them until the next news. When an
-engine holds more requests than slots, the entry with most batch runs there
-stops some; a stopped item goes on later after its last event.
-
-An endpoint may fail part of its requests while it seems healthy. An item
-that failed there runs at others, so that its few attempts don't all go to
-the same fault.
+Under overload, items whose job can no longer be done in time go behind those
+whose job can. All entries see the same free slots at the same moment, so each
+takes only its share of them until the next load reports arrive. When an
+engine holds more requests than slots, the entry with the most batch runs
+there preempts some; a preempted item resumes later after its last event.
+
+An endpoint may fail some of its requests while it seems healthy. An item that
+failed there is retried on other endpoints, so that its few attempts are not
+all spent on the same fault.
 """
 
 from __future__ import annotations
@@ -25,33 +26,37 @@
 from quetzaldyke.gateway.loads import LoadTable
 from quetzaldyke.gateway.model import Endpoint
 
-# Assumed until the first runs have ended.
+# Initial averages, used until the first runs have ended.
 DEFAULT_EVENTS: Final = 100.0
 DEFAULT_EVENT_S: Final = 0.02
-# Weight of the latest run in the moving averages.
-TIMES_WEIGHT: Final = 0.1
-# An item that has passed the usual length is taken to be near its end.
-MIN_LEFT_SHARE: Final = 0.1
+# Weight of the latest run in the exponential moving averages.
+SMOOTHING_FACTOR: Final = 0.1
+# An item that is longer than the average is assumed to need this share of
+# the average length until its end.
+MIN_REMAINING_SHARE: Final = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """An item that could start now."""
+    """An item that is ready to start."""
 
     job_id: str
     item: int
     # Unix time at which its job is due.
     due_ms: float
     events_done: int
-    # Whether it can't be done any more when its job is due.
+    # Whether it can no longer be done before its job is due.
     late: bool
-    # Endpoints at which it has failed.
+    # Endpoints on which it has failed.
     failed_at: frozenset[str] = frozenset()
 
 
 def start_order(candidates: Iterable[Candidate]) -> list[Candidate]:
     """Return the items in the order in which they should start.
 
+    Items that can be done in time go first, then those due earlier, then
+    those with more events done.
+
     >>> early = Candidate('a', 0, due_ms=1.0, events_done=0, late=True)
     >>> later = Candidate('a', 0, due_ms=9.0, events_done=0, late=False)
     >>> begun = Candidate('b', 0, due_ms=5.0, events_done=7, late=False)
@@ -62,139 +67,154 @@
     """
     return sorted(
         candidates,
-        key=lambda one: (
-            one.late,
-            one.due_ms,
-            -one.events_done,
-            one.job_id,
-            one.item,
+        key=lambda candidate: (
+            candidate.late,
+            candidate.due_ms,
+            -candidate.events_done,
+            candidate.job_id,
+            candidate.item,
         ),
     )
 
 
-def pair(
+def assign_endpoints(
     candidates: Iterable[Candidate],
-    rooms: Sequence[Endpoint],
+    slots: Sequence[Endpoint],
     usable: Collection[str],
 ) -> list[tuple[Candidate, Endpoint]]:
-    """Give the free slots to the items, in order.
+    """Assign the free slots to the items, in order.
 
-    An item stays away from endpoints at which it has failed while there is
-    a usable one at which it has not.
+    `slots` has one endpoint for each free slot. An item is not assigned to
+    an endpoint on which it has failed while there is a usable endpoint on
+    which it has not, even if that one has no free slot.
     """
-    left = list(rooms)
+    remaining = list(slots)
     pairs: list[tuple[Candidate, Endpoint]] = []
     for candidate in candidates:
-        if not left:
+        if not remaining:
             break
         avoided = candidate.failed_at
         if avoided.issuperset(usable):
             avoided = frozenset()
         found = next(
-            (one for one in left if one.endpoint_id not in avoided),
+            (slot for slot in remaining if slot.endpoint_id not in avoided),
             None,
         )
         if found is not None:
-            left.remove(found)
+            remaining.remove(found)
             pairs.append((candidate, found))
     return pairs
 
 
 @dataclass(slots=True)
-class RunTimes:
-    """How long whole runs take, learned from those that ended.
+class RunTimeEstimator:
+    """Estimates run times from moving averages of runs that have ended.
 
-    >>> times = RunTimes()
-    >>> times.note(events=200, lasted_s=4.0)
-    >>> times.left_s(events_done=0) > times.left_s(events_done=100) > 0
+    >>> times = RunTimeEstimator()
+    >>> times.record_run(events=200, duration_s=4.0)
+    >>> times.remaining_s(0) > times.remaining_s(events_done=100) > 0
     True
     """
 
     events: float = DEFAULT_EVENTS
     event_s: float = DEFAULT_EVENT_S
 
-    def note(self, events: int, lasted_s: float) -> None:
-        """A run without a break produced this many events."""
+    def record_run(self, events: int, duration_s: float) -> None:
+        """Update the averages with an uninterrupted run of a whole item."""
         if not events:
             return
-        self.events += TIMES_WEIGHT * (events - self.events)
-        pace_s = lasted_s / events
-        self.event_s += TIMES_WEIGHT * (pace_s - self.event_s)
-
-    def left_s(self, events_done: int) -> float:
-        """Return how long an item that has got so far still takes."""
-        left = max(self.events - events_done, MIN_LEFT_SHARE * self.events)
-        return left * self.event_s
+        self.events += SMOOTHING_FACTOR * (events - self.events)
+        measured_event_s = duration_s / events
+        self.event_s += SMOOTHING_FACTOR * (measured_event_s - self.event_s)
+
+    def remaining_s(self, events_done: int) -> float:
+        """Return the estimated time that an item still takes."""
+        remaining = max(
+            self.events - events_done, MIN_REMAINING_SHARE * self.events
+        )
+        return remaining * self.event_s
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Batch items that could start now, here and at the other entries."""
+    """Batch items ready to start, at this entry and at all others."""
 
     own: int
     elsewhere: int
-    # How old the news about other entries may be.
-    news_age_s: float
+    # How old the load reports of other entries may be.
+    report_age_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class BatchPolicy:
-    """Room for batch items, as one entry sees it."""
+    """Decides how many batch items one entry runs on each endpoint."""
 
     own_id: str
     loads: LoadTable
     generator: random.Random
-    # When the free slots of an endpoint were shared out last.
-    shared_s: dict[str, float] = field(default_factory=dict)
+    # When this entry last took free slots of an endpoint.
+    allocated_s: dict[str, float] = field(default_factory=dict)
 
-    def rooms(
+    def allocate_slots(
         self,
         endpoints: Sequence[Endpoint],
         demand: Demand,
         now_s: float,
     ) -> list[Endpoint]:
-        """Return an endpoint for each item that may start now.
+        """Return one endpoint for each item that may start now.
 
-        The emptiest endpoints come first. Free slots that other entries
-        want too are shared out once for each round of news.
+        The endpoints with the most free slots come first, ties in random
+        order. While other entries also have items to start, this entry takes
+        slots of an endpoint only once per round of load reports.
         """
-        places: list[tuple[int, float, Endpoint]] = []
+        allocated: list[tuple[int, float, Endpoint]] = []
         for endpoint in endpoints:
-            room = self.room(endpoint)
-            if not room or self.is_shared_out(endpoint, demand, now_s):
+            free = self.free_slots(endpoint)
+            if not free or self.is_recently_allocated(endpoint, demand, now_s):
                 continue
-            self.shared_s[endpoint.endpoint_id] = now_s
-            for number in range(self.share_of(room, demand)):
-                draw = self.generator.random()
-                places.append((number - room, draw, endpoint))
-        places.sort(key=lambda place: place[:2])
-        return [place[2] for place in places]
-
-    def is_shared_out(
+            self.allocated_s[endpoint.endpoint_id] = now_s
+            for number in range(self.own_share(free, demand)):
+                tie_break = self.generator.random()
+                allocated.append((number - free, tie_break, endpoint))
+        allocated.sort(key=lambda row: row[:2])
+        return [row[2] for row in allocated]
+
+    def is_recently_allocated(
         self,
         endpoint: Endpoint,
         demand: Demand,
         now_s: float,
     ) -> bool:
-        """Tell whether others may just have taken the same free slots."""
+        """Return whether other entries may have taken the free slots.
+
+        Until the next round of load reports, slots that other entries have
+        just taken still look free.
+        """
         if not demand.elsewhere:
             return False
-        shared_s = self.shared_s.get(endpoint.endpoint_id, 0.0)
-        return now_s - shared_s < demand.news_age_s
+        allocated_s = self.allocated_s.get(endpoint.endpoint_id, 0.0)
+        return now_s - allocated_s < demand.report_age_s
 
-    def room(self, endpoint: Endpoint) -> int:
-        """Return the slots of an endpoint that batch items may take."""
+    def free_slots(self, endpoint: Endpoint) -> int:
+        """Return how many slots of an endpoint batch items may take."""
         used = self.loads.total(endpoint.endpoint_id)
         return max(0, endpoint.slots - used)
 
-    def share_of(self, room: int, demand: Demand) -> int:
-        """Return this entry's share of free slots, rounded by lot."""
-        exact = room * demand.own / max(1, demand.own + demand.elsewhere)
+    def own_share(self, free: int, demand: Demand) -> int:
+        """Return this entry's share of free slots.
+
+        It is rounded up or down at random, so that the shares of all entries
+        add up to the free slots on average.
+        """
+        exact = free * demand.own / max(1, demand.own + demand.elsewhere)
         whole = int(exact)
         return whole + (self.generator.random() < exact - whole)
 
-    def surplus(self, endpoint_id: str, slots: int) -> int:
-        """Return how many own batch runs must leave an endpoint."""
+    def runs_to_preempt(self, endpoint_id: str, slots: int) -> int:
+        """Return how many own batch runs must leave an endpoint.
+
+        Only the entry with the most batch runs there preempts any.
+        """
         own = self.loads.own_of(endpoint_id).batch
         excess = self.loads.total(endpoint_id) - slots
         if excess <= 0 or not own:
--- a/src/quetzaldyke/gateway/item_run.py
+++ b/src/quetzaldyke/gateway/item_run.py
@@ -1,4 +1,4 @@
-"""One run of a batch item on one endpoint."""
+"""Runs a batch item once, on one endpoint."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from result import Err
 
 from quetzaldyke.gateway.active_job import ActiveJob, ItemProgress
-from quetzaldyke.gateway.batch_schedule import RunTimes
+from quetzaldyke.gateway.batch_schedule import RunTimeEstimator
 from quetzaldyke.gateway.dispatcher import Dispatcher, Place
 from quetzaldyke.gateway.event_stream import StreamOrderError, data_of
 from quetzaldyke.gateway.exchange import (
@@ -26,33 +26,33 @@
 from quetzaldyke.platform import names
 
 STATUS_OK: Final = 200
-# The item can never be done.
-STATUS_NEVER: Final = 422
-# Events of a run come within milliseconds; this long a silence means that
-# its endpoint is lost.
-STALL_S: Final = 1.5
-ITEM_RETRY_PAUSE_S: Final = 0.15
-# The endpoint may work this long on one run of an item.
-RUN_LIMIT_MS: Final = 60_000
-MAX_IDLE_S: Final = 4.0
+# The endpoint can never run the item, so it is not retried.
+STATUS_UNPROCESSABLE: Final = 422
+# Events of a run come within milliseconds of each other; an endpoint that is
+# silent for this long is taken to be lost.
+STALL_TIMEOUT_S: Final = 1.5
+ITEM_RETRY_DELAY_S: Final = 0.15
+# Deadline that the endpoint gets for one run of an item.
+RUN_TIMEOUT_MS: Final = 60_000
+MAX_CONNECTION_IDLE_S: Final = 4.0
 LOGGED_BODY_CHARS: Final = 80
 
 
 @dataclass(frozen=True, slots=True)
 class RunContext:
-    """What all runs of a process share."""
+    """State that all runs of a process share."""
 
     dispatcher: Dispatcher
     client: HttpClient
     store: JobStore
-    times: RunTimes
-    # Told of a result: job, item, whether it is complete.
-    finish: Callable[[ActiveJob, ItemProgress, bool], None]
+    estimator: RunTimeEstimator
+    # Receives the result of an item: job, item, whether it completed.
+    finish_item: Callable[[ActiveJob, ItemProgress, bool], None]
 
 
 @dataclass(slots=True)
 class ItemRun:
-    """An item that holds a place on an endpoint."""
+    """One run of an item, which holds a slot of an endpoint."""
 
     context: RunContext
     job: ActiveJob
@@ -66,21 +66,21 @@
         return self.place.endpoint.endpoint_id
 
     async def run(self) -> None:
-        """Run the item as far as it gets."""
+        """Run the item until it finishes, fails or is interrupted."""
         try:
             body = await self.read_body()
             if body is None or self.job.stopped or self.exchange.failure:
                 return
-            await self.exchange_item(body)
+            await self.send_item(body)
         except ExchangeError as exc:
-            self.note_failure(exc)
+            self.handle_interruption(exc)
         except StreamOrderError as exc:
-            self.note_failure(ExchangeError(Failure.MALFORMED, str(exc)))
+            self.handle_interruption(ExchangeError(Failure.MALFORMED, str(exc)))
         finally:
             self.exchange.cancel()
 
     async def read_body(self) -> bytes | None:
-        """Return the body of the item; None when it can't be read now."""
+        """Return the body of the item; None, after a pause, if unreadable."""
         record = self.progress.record
         part = self.job.bodies.get(record.body_part)
         if part is None:
@@ -89,40 +89,40 @@
                 record.body_part,
             )
             if isinstance(answer, Err):
-                await anyio.sleep(ITEM_RETRY_PAUSE_S)
+                await anyio.sleep(ITEM_RETRY_DELAY_S)
                 return None
             part = self.job.bodies[record.body_part] = answer.ok_value
         return part[record.body_start : record.body_start + record.body_size]
 
-    async def exchange_item(self, body: bytes) -> None:
-        """Send the item and take what comes back."""
+    async def send_item(self, body: bytes) -> None:
+        """Send the item and handle the response."""
         endpoint = self.place.endpoint
         await self.context.client.start(
             endpoint.host,
             endpoint.port,
             self.encode(body),
             self.exchange,
-            MAX_IDLE_S,
+            MAX_CONNECTION_IDLE_S,
         )
         self.context.client.active.add(self.exchange)
-        self.allow_silence()
+        self.extend_stall_deadline()
         head = await self.exchange.read_head()
         if head.status == STATUS_OK and head.get(names.SIGNATURE) is not None:
-            await self.take_events()
+            await self.read_events()
             return
         answer = await self.exchange.read_body()
-        if head.status == STATUS_NEVER:
-            self.context.finish(self.job, self.progress, False)
+        if head.status == STATUS_UNPROCESSABLE:
+            self.context.finish_item(self.job, self.progress, False)
             return
-        self.note_error(head, answer)
+        self.handle_error_response(head, answer)
 
-    def allow_silence(self) -> None:
-        """Let the watchdog wait for the next bytes."""
+    def extend_stall_deadline(self) -> None:
+        """Give the endpoint another stall timeout for its next bytes."""
         now_s = self.context.dispatcher.clock.now()
-        self.exchange.expires_at_s = now_s + STALL_S
+        self.exchange.expires_at_s = now_s + STALL_TIMEOUT_S
 
     def encode(self, body: bytes) -> bytes:
-        """Return the request for this run."""
+        """Return the request, which resumes after the last event received."""
         record = self.progress.record
         headers = [
             (name.lower().encode('latin-1'), text.encode('latin-1'))
@@ -132,7 +132,7 @@
             (
                 (b'host', self.job.record.host.encode('latin-1')),
                 (names.ATTEMPT_ID, record.item_id.encode('latin-1')),
-                (names.DEADLINE, b'%d' % RUN_LIMIT_MS),
+                (names.DEADLINE, b'%d' % RUN_TIMEOUT_MS),
                 (names.EXPECTED_ENDPOINT, self.endpoint_id.encode()),
             ),
         )
@@ -142,13 +142,16 @@
         path = record.path.encode('latin-1')
         return encode_request(b'POST', path, headers, body)
 
-    async def take_events(self) -> None:
-        """Collect the events of the run until it is complete."""
+    async def read_events(self) -> None:
+        """Collect the events of the run until it is complete.
+
+        Raises `ExchangeError` if the response ends inside an event.
+        """
         progress = self.progress
         progress.splitter.restart()
         clock = self.context.dispatcher.clock
-        begun_s = clock.now()
-        done_before = progress.events_done
+        started_s = clock.now()
+        events_before = progress.events_done
         while chunk := await self.read_chunk():
             events = progress.splitter.feed(chunk)
             if events:
@@ -156,26 +159,32 @@
         if progress.splitter.partial:
             raise ExchangeError(Failure.BROKEN, 'ended inside an event')
         self.context.dispatcher.book.note_success(self.endpoint_id)
-        if not done_before:
-            self.context.times.note(progress.events_done, clock.now() - begun_s)
-        self.context.finish(self.job, progress, True)
+        if not events_before:
+            self.context.estimator.record_run(
+                progress.events_done, clock.now() - started_s
+            )
+        self.context.finish_item(self.job, progress, True)
 
     async def read_chunk(self) -> bytes:
-        """Return the next bytes, none at the end of the run."""
-        self.allow_silence()
+        """Return the next bytes, which are empty at the end of the response."""
+        self.extend_stall_deadline()
         chunk = await self.exchange.read_chunk()
         dispatcher = self.context.dispatcher
         dispatcher.book.note_bytes(self.endpoint_id, dispatcher.clock.now())
         return chunk
 
-    def note_error(self, head: ResponseHead, answer: bytes) -> None:
-        """Count a failed run, or wait after the endpoint turned it away."""
+    def handle_error_response(self, head: ResponseHead, answer: bytes) -> None:
+        """Delay the retry, or fail the item after its last attempt.
+
+        A response that says that the endpoint did not run the item does not
+        count as an attempt.
+        """
         progress = self.progress
         refused = is_not_run(head)
         if not refused:
             progress.failures += 1
             progress.failed_at |= {self.endpoint_id}
-        self.wait_before_retry()
+        self.delay_retry()
         log_event(
             'item_failed',
             item=progress.record.item_id,
@@ -187,13 +196,17 @@
             detail=answer[:LOGGED_BODY_CHARS].decode('latin-1'),
         )
         if progress.failures >= self.job.route.max_attempts:
-            self.context.finish(self.job, progress, False)
+            self.context.finish_item(self.job, progress, False)
+
+    def handle_interruption(self, exc: ExchangeError) -> None:
+        """Delay the retry, which resumes after the last event received.
 
-    def note_failure(self, exc: ExchangeError) -> None:
-        """Keep what has arrived and let the item go on later."""
+        Also reports the failure of the endpoint. A cancelled run is not a
+        failure.
+        """
         if exc.failure is Failure.CANCELLED:
             return
-        now_s = self.wait_before_retry()
+        now_s = self.delay_retry()
         ejected_s = self.context.dispatcher.book.note_failure(
             self.endpoint_id,
             now_s,
@@ -208,8 +221,8 @@
             ejected_s=ejected_s,
         )
 
-    def wait_before_retry(self) -> float:
-        """Keep the item from starting again at once; return the time."""
+    def delay_retry(self) -> float:
+        """Delay the next run of the item; returns the current time."""
         now_s = self.context.dispatcher.clock.now()
-        self.progress.not_before_s = now_s + ITEM_RETRY_PAUSE_S
+        self.progress.not_before_s = now_s + ITEM_RETRY_DELAY_S
         return now_s
--- a/src/quetzaldyke/gateway/job_api.py
+++ b/src/quetzaldyke/gateway/job_api.py
@@ -1,4 +1,4 @@
-"""Calls of callers about batch jobs: submit, read, read a body, end."""
+"""Handles requests about batch jobs: submit, read, read a body, end."""
 
 from __future__ import annotations
 
@@ -30,26 +30,26 @@
 STATUS_ACCEPTED: Final = 202
 STATUS_BAD_REQUEST: Final = 400
 STATUS_NOT_FOUND: Final = 404
-STATUS_TOO_MANY: Final = 429
+STATUS_TOO_MANY_REQUESTS: Final = 429
 STATUS_BAD_GATEWAY: Final = 502
 STATUS_UNAVAILABLE: Final = 503
 MAX_PAGE_BYTES: Final = 900_000
-MAX_WAIT_S: Final = 1.0
-OUTAGE_RETRY_S: Final = b'1.0'
-QUOTA_RETRY_S: Final = b'2.0'
+MAX_LONG_POLL_S: Final = 1.0
+OUTAGE_RETRY_AFTER: Final = b'1.0'
+QUOTA_RETRY_AFTER: Final = b'2.0'
 JSON_TYPE: Final = (b'content-type', b'application/json')
 
 
 @dataclass(slots=True)
 class JobApi:
-    """Handler of the calls about batch jobs."""
+    """Handler of requests about batch jobs."""
 
     store: JobStore
-    # Starts to run a job that this entry has just accepted.
+    # Starts a job that this entry has just accepted.
     run_accepted: Callable[[NewJob], None]
-    # Tells the peers that a job was ended.
+    # Tells the peers that a job has ended.
     tell_ended: Callable[[str], None]
-    # Whether the store answered lately.
+    # Whether the store answered recently.
     store_up: Callable[[], bool]
 
     async def handle(
@@ -58,14 +58,14 @@
         route: Route | None,
         caller: AsgiCaller,
     ) -> bool:
-        """Serve a call about a job; False when it is another request."""
+        """Serve a request about a job; False if it is about anything else."""
         path = request.path
         if path.startswith(names.JOB_PATH):
             job_id = path.removeprefix(names.JOB_PATH)
             if request.method == b'DELETE':
-                await self.end(job_id, caller)
+                await self.end_job(job_id, caller)
             else:
-                await self.read(job_id, request, caller)
+                await self.read_results(job_id, request, caller)
             return True
         if path.startswith(names.ITEM_PATH):
             job_id = path.removeprefix(names.ITEM_PATH)
@@ -82,19 +82,23 @@
         route: Route,
         caller: AsgiCaller,
     ) -> None:
-        """Accept a job, once however often it is sent."""
+        """Accept a job; one that is submitted again is accepted only once.
+
+        Answers 400 to an invalid submission, 429 over the quota, 503 without
+        a store and 502 if the job may have been accepted.
+        """
         raw_id = request.header(names.ATTEMPT_ID)
         decoded = decode_submission(request.body)
         if not raw_id or isinstance(decoded, Err):
             await answer(caller, STATUS_BAD_REQUEST)
             return
         job_id = raw_id.decode('latin-1')
-        if self.store.table.view_known(job_id):
+        if self.store.table.is_known(job_id):
             await answer(caller, STATUS_ACCEPTED)
             return
         if not self.store_up():
             log_event('job_refused', job=job_id, reason='store_down')
-            await refuse(caller, STATUS_UNAVAILABLE, OUTAGE_RETRY_S)
+            await refuse(caller, STATUS_UNAVAILABLE, OUTAGE_RETRY_AFTER)
             return
         job = make_job(job_id, route, decoded.ok_value)
         accepted = await self.store.accept(job, route)
@@ -120,69 +124,77 @@
         if failure == 'unknown':
             await answer(caller, STATUS_BAD_GATEWAY)
         elif failure == 'over_quota':
-            await refuse(caller, STATUS_TOO_MANY, QUOTA_RETRY_S)
+            await refuse(caller, STATUS_TOO_MANY_REQUESTS, QUOTA_RETRY_AFTER)
         else:
-            await refuse(caller, STATUS_UNAVAILABLE, OUTAGE_RETRY_S)
+            await refuse(caller, STATUS_UNAVAILABLE, OUTAGE_RETRY_AFTER)
 
-    async def find(self, job_id: str, caller: AsgiCaller) -> JobView | None:
-        """Return a job; answers the caller when there is none."""
+    async def find_job(self, job_id: str, caller: AsgiCaller) -> JobView | None:
+        """Return a job; None after answering 404 or 503."""
         found = await self.store.find(job_id)
         if isinstance(found, Err):
-            await self.unavailable(job_id, found.err_value, caller)
+            await self.refuse_unavailable(job_id, found.err_value, caller)
             return None
         if found.ok_value is None or not found.ok_value.known:
             await answer(caller, STATUS_NOT_FOUND)
             return None
         return found.ok_value
 
-    async def unavailable(
+    async def refuse_unavailable(
         self,
         job_id: str,
         error: KvError,
         caller: AsgiCaller,
     ) -> None:
-        """Say that a job can't be read now."""
+        """Answer 503, because the store can't serve a job now."""
         log_event('job_not_readable', job=job_id, reason=str(error))
-        await refuse(caller, STATUS_UNAVAILABLE, OUTAGE_RETRY_S)
+        await refuse(caller, STATUS_UNAVAILABLE, OUTAGE_RETRY_AFTER)
 
-    async def read(
+    async def read_results(
         self,
         job_id: str,
         request: ReceivedRequest,
         caller: AsgiCaller,
     ) -> None:
-        """Return the results from a position on."""
-        view = await self.find(job_id, caller)
+        """Answer with the results from a position on.
+
+        If the request asks to wait, the first of them may take up to
+        `MAX_LONG_POLL_S`.
+        """
+        view = await self.find_job(job_id, caller)
         if view is None:
             return
-        after = read_number(request.query, 'after')
+        after = query_number(request.query, 'after')
         wait_ms = request.number(names.WAIT) or 0
-        await wait_for_result(view, after, min(wait_ms / MS_IN_S, MAX_WAIT_S))
-        page = await self.page(view, after)
+        await wait_for_result(
+            view, after, min(wait_ms / MS_IN_S, MAX_LONG_POLL_S)
+        )
+        page = await self.read_page(view, after)
         if isinstance(page, Err):
-            await self.unavailable(job_id, page.err_value, caller)
+            await self.refuse_unavailable(job_id, page.err_value, caller)
             return
         await answer(caller, STATUS_OK, page.ok_value, [JSON_TYPE])
 
-    async def page(self, view: JobView, after: int) -> Result[bytes, KvError]:
-        """Return one page of results."""
+    async def read_page(
+        self, view: JobView, after: int
+    ) -> Result[bytes, KvError]:
+        """Return an encoded page of results, bounded by its output size."""
         assert view.record is not None
         assert view.state is not None
         results: list[ReadResult] = []
         size = 0
-        for listed in view.state.listed[after:]:
+        for result in view.state.results[after:]:
             outputs = await self.store.read_outputs(
                 view.record.job_id,
-                listed.part,
+                result.part,
             )
             if isinstance(outputs, Err):
                 return outputs
-            output = outputs.ok_value[listed.item]
+            output = outputs.ok_value[result.item]
             size += len(output)
             if results and size > MAX_PAGE_BYTES:
                 break
-            item = view.record.items[listed.item]
-            results.append(ReadResult(item.item_id, listed.completed, output))
+            item = view.record.items[result.item]
+            results.append(ReadResult(item.item_id, result.completed, output))
         total = len(view.record.items)
         return Ok(encode_results(total, after, results))
 
@@ -192,14 +204,18 @@
         request: ReceivedRequest,
         caller: AsgiCaller,
     ) -> None:
-        """Return the body of an item."""
-        view = await self.find(job_id, caller)
+        """Answer with the body of one item."""
+        view = await self.find_job(job_id, caller)
         if view is None:
             return
         assert view.record is not None
-        item_id = read_text(request.query, 'id')
+        item_id = query_text(request.query, 'id')
         item = next(
-            (one for one in view.record.items if one.item_id == item_id),
+            (
+                record
+                for record in view.record.items
+                if record.item_id == item_id
+            ),
             None,
         )
         if item is None:
@@ -207,17 +223,17 @@
             return
         part = await self.store.read_body_part(job_id, item.body_part)
         if isinstance(part, Err):
-            await self.unavailable(job_id, part.err_value, caller)
+            await self.refuse_unavailable(job_id, part.err_value, caller)
             return
         end = item.body_start + item.body_size
         body = part.ok_value[item.body_start : end]
         await answer(caller, STATUS_OK, body)
 
-    async def end(self, job_id: str, caller: AsgiCaller) -> None:
-        """End a job."""
+    async def end_job(self, job_id: str, caller: AsgiCaller) -> None:
+        """End a job and tell the peers."""
         ended = await self.store.end(job_id)
         if isinstance(ended, Err):
-            await self.unavailable(job_id, ended.err_value, caller)
+            await self.refuse_unavailable(job_id, ended.err_value, caller)
             return
         if ended.ok_value:
             self.tell_ended(job_id)
@@ -226,23 +242,23 @@
 
 
 async def wait_for_result(view: JobView, after: int, wait_s: float) -> None:
-    """Wait until a result at a position is listed, or the job is over."""
+    """Wait until a position has a result, the job is over or time is up."""
     with anyio.move_on_after(wait_s):
-        while view.open and view.state and len(view.state.listed) <= after:
+        while view.open and view.state and len(view.state.results) <= after:
             await view.changed.wait()
 
 
-def read_text(query: bytes, name: str) -> str:
-    """Return a parameter of a query string.
+def query_text(query: bytes, name: str) -> str:
+    """Return a parameter of a query string, empty when it is missing.
 
-    >>> read_text(b'id=a%2Fb', 'id')
+    >>> query_text(b'id=a%2Fb', 'id')
     'a/b'
     """
     values = parse_qs(query.decode('latin-1')).get(name, [''])
     return values[0]
 
 
-def read_number(query: bytes, name: str) -> int:
-    """Return a parameter that holds a number, 0 when it is missing."""
-    text = read_text(query, name)
+def query_number(query: bytes, name: str) -> int:
+    """Return a numeric parameter, 0 when it is missing or no number."""
+    text = query_text(query, name)
     return int(text) if text.isdecimal() else 0
--- a/src/quetzaldyke/gateway/job_owner.py
+++ b/src/quetzaldyke/gateway/job_owner.py
@@ -1,4 +1,4 @@
-"""Runs the jobs that this entry owns, and takes over those of lost entries."""
+"""Runs the jobs that this entry owns and takes over those of lost entries."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 from quetzaldyke.parts.rendezvous import first_for
 
 MS_IN_S: Final = 1000
-# Clocks of instances differ by seconds; a job is kept this much longer.
+# Added to the retention, because the clocks of instances differ by seconds.
 RETENTION_MARGIN_S: Final = 60.0
 
 
 @dataclass(slots=True)
 class JobOwner:
-    """The jobs of one entry."""
+    """Decides which jobs the batch runner of one entry runs."""
 
     runner: BatchRunner
     table: JobTable
@@ -34,11 +34,11 @@
     ownership: Ownership
     health: StoreHealth
     now: Callable[[], float]
-    # Entries whose reports arrive.
+    # Owner ids of the entries whose load reports arrive.
     alive: Callable[[], Collection[str]]
-    # How long a job can be read after its acceptance.
+    # How long after its acceptance a job can be read.
     retention_s: float
-    # Set at a planned stop.
+    # Set at a planned shutdown.
     stopping: bool = False
 
     @property
@@ -47,7 +47,7 @@
         return self.ownership.member.owner_id
 
     def on_job(self, job_id: str) -> None:
-        """Stop what this entry must not run any more."""
+        """Stop a running job that has ended or that another entry owns."""
         if job_id not in self.runner.jobs:
             return
         view = self.table.jobs.get(job_id)
@@ -57,18 +57,25 @@
             self.runner.deactivate(job_id, 'owned_by_another')
 
     def run_accepted(self, job: NewJob) -> None:
-        """Run a job that this entry has just accepted."""
+        """Run a job that this entry has just accepted.
+
+        Does nothing if the job has ended or another entry owns it.
+        """
         view = self.table.jobs.get(job.record.job_id)
         if view is not None and (view.ended or not self.owns(view.state)):
             return
         self.runner.activate(job.record, set(), {}, dict(job.bodies), [])
 
     def owns(self, state: JobState | None) -> bool:
-        """Tell whether a state names this entry; one not seen yet does."""
+        """Return whether this entry owns a job; true if `state` is None."""
         return state is None or state.owner_id == self.owner_id
 
     async def reconcile(self) -> None:
-        """Run the jobs that this entry owns, and take over orphans."""
+        """Run the jobs that this entry owns, and take over orphaned ones.
+
+        Takes over no jobs while the store doesn't answer, and does nothing
+        during a planned shutdown.
+        """
         if self.stopping:
             return
         for view in list(self.table.jobs.values()):
@@ -85,7 +92,7 @@
             await self.take_over(job_id)
 
     async def take_over(self, job_id: str) -> None:
-        """Become the owner of a job and run it."""
+        """Become the owner of a job and run it, unless the write fails."""
         taken = await self.store.take_over(job_id)
         outcome = 'taken' if isinstance(taken, Ok) else str(taken.err_value)
         log_event('job_taken_over', job=job_id, outcome=outcome)
@@ -93,7 +100,11 @@
             await self.activate(job_id)
 
     async def activate(self, job_id: str) -> None:
-        """Run a job that this entry owns, from what earlier runs left."""
+        """Run a job that this entry owns, resuming from its partial outputs.
+
+        Does nothing if the job is unknown, already runs, has ended or belongs
+        to another entry.
+        """
         view = self.table.jobs.get(job_id)
         if view is None or view.record is None or view.state is None:
             return
@@ -102,17 +113,20 @@
         partials = await self.store.read_partials(job_id)
         if not view.open or not self.owns(view.state):
             return
-        listed = {one.item for one in view.state.listed}
+        done = {result.item for result in view.state.results}
         self.runner.activate(
             view.record,
-            listed,
+            done,
             view.state.failures,
             {},
             partials,
         )
 
     async def delete_expired(self) -> None:
-        """Delete the jobs whose retention is over, on one entry."""
+        """Delete the jobs that are not open and whose retention is over.
+
+        Each job is deleted only by the entry that ranks first for it.
+        """
         if not self.health.up:
             return
         oldest_s = time.time() - self.retention_s - RETENTION_MARGIN_S
@@ -126,4 +140,4 @@
             ):
                 continue
             await self.store.delete(job_id)
-            log_event('job_forgotten', job=job_id)
+            log_event('job_expired', job=job_id)
--- a/src/quetzaldyke/gateway/job_records.py
+++ b/src/quetzaldyke/gateway/job_records.py
@@ -1,9 +1,10 @@
 """Records of batch jobs in the store, and their keys.
 
-A job never changes once it is accepted. Its state holds the owner and the
-results listed so far; it is only written under the condition that nobody
-else wrote it, which is what keeps every result at one position. Outputs and
-bodies are kept apart, so that only those who need them read them.
+A job record never changes once it is accepted. The state of the job holds its
+owner and the results so far; it is written only on condition that its
+revision has not changed, which keeps every result at one position. Outputs
+and bodies have keys of their own, so that only readers that need them load
+them.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 STATE_PREFIX: Final = f'{FLEET_PREFIX}state/'
 END_PREFIX: Final = f'{FLEET_PREFIX}end/'
 QUOTA_PREFIX: Final = f'{FLEET_PREFIX}quota/'
-# What running items have produced so far.
+# Partial outputs of items that are not finished.
 PARTIAL_PREFIX: Final = 'quetzaldyke/partial/'
 BODY_PREFIX: Final = 'quetzaldyke/body/'
 RESULT_PREFIX: Final = 'quetzaldyke/result/'
@@ -27,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A running entry, kept under a lease."""
+    """A running entry; its record lives as long as its lease."""
 
     owner_id: str
     instance: str
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemRecord:
-    """One item of a job; its body is part `body_part` of the job's bodies."""
+    """One item of a job; its body is a slice of the part `body_part`."""
 
     item_id: str
     path: str
@@ -88,23 +89,23 @@
         """Encode for storage."""
         rows = [
             [
-                one.item_id,
-                one.path,
-                one.headers,
-                one.tokens,
-                one.body_part,
-                one.body_start,
-                one.body_size,
+                item.item_id,
+                item.path,
+                item.headers,
+                item.tokens,
+                item.body_part,
+                item.body_start,
+                item.body_size,
             ]
-            for one in self.items
+            for item in self.items
         ]
         row = [self.job_id, self.route, self.host, self.accepted_ms, rows]
         return bytes(msgpack.packb(row))
 
 
 @dataclass(frozen=True, slots=True)
-class ListedResult:
-    """A result at its position; its output is a row of a result part."""
+class ResultRecord:
+    """A result; its output is a row of the result part `part`."""
 
     item: int
     completed: bool
@@ -113,33 +114,36 @@
 
 @dataclass(frozen=True, slots=True)
 class JobState:
-    """Owner and results of a job."""
+    """The owner of a job and its results in order."""
 
     owner_id: str
-    # Instance of the owner, which may come back as another process.
+    # Instance of the owner; it may restart as another process.
     owner_instance: str
-    parts: int = 0
-    listed: tuple[ListedResult, ...] = ()
-    # Failed runs by item, kept over a change of the owner.
+    part_count: int = 0
+    results: tuple[ResultRecord, ...] = ()
+    # Failed runs by item, kept when the owner changes.
     failures: dict[int, int] = field(default_factory=dict)
 
     @classmethod
     def unpack(cls, raw: bytes) -> JobState:
         """Decode a stored state."""
-        owner_id, instance, parts, rows, failures = msgpack.unpackb(
+        owner_id, instance, part_count, rows, failures = msgpack.unpackb(
             raw,
             strict_map_key=False,
         )
-        listed = tuple(ListedResult(*row) for row in rows)
-        return cls(owner_id, instance, parts, listed, failures)
+        results = tuple(ResultRecord(*row) for row in rows)
+        return cls(owner_id, instance, part_count, results, failures)
 
     def pack(self) -> bytes:
         """Encode for storage."""
-        rows = [[one.item, one.completed, one.part] for one in self.listed]
+        rows = [
+            [result.item, result.completed, result.part]
+            for result in self.results
+        ]
         row = [
             self.owner_id,
             self.owner_instance,
-            self.parts,
+            self.part_count,
             rows,
             self.failures,
         ]
@@ -150,30 +154,30 @@
         outcomes: list[tuple[int, bool]],
         failures: dict[int, int],
     ) -> JobState:
-        """Return the state after one more part of results.
+        """Return the state with one more part of results.
 
         >>> state = JobState('o', 'i').with_results([(3, True)], {})
-        >>> state.parts, state.listed
-        (1, (ListedResult(item=3, completed=True, part=0),))
+        >>> state.part_count, state.results
+        (1, (ResultRecord(item=3, completed=True, part=0),))
         """
         added = tuple(
-            ListedResult(item, completed, self.parts)
+            ResultRecord(item, completed, self.part_count)
             for item, completed in outcomes
         )
         return replace(
             self,
-            parts=self.parts + 1,
-            listed=self.listed + added,
+            part_count=self.part_count + 1,
+            results=self.results + added,
             failures=failures,
         )
 
 
 @dataclass(frozen=True, slots=True)
 class PartialOutput:
-    """What the runs of an unfinished item have produced."""
+    """The output so far of an item that is not finished."""
 
     item: int
-    # Number of the last whole event.
+    # Number of the last complete event.
     last_event: int
     output: bytes
 
@@ -184,7 +188,10 @@
     >>> unpack_partials(pack_partials([PartialOutput(2, 7, b'x')]))
     [PartialOutput(item=2, last_event=7, output=b'x')]
     """
-    rows = [[one.item, one.last_event, one.output] for one in partials]
+    rows = [
+        [partial.item, partial.last_event, partial.output]
+        for partial in partials
+    ]
     return bytes(msgpack.packb(rows))
 
 
@@ -204,10 +211,10 @@
 
 
 def pack_outputs(outputs: list[tuple[int, bytes]]) -> bytes:
-    """Encode the outputs of one part by item."""
+    """Encode one part of the outputs, given as (item, output)."""
     return bytes(msgpack.packb([list(row) for row in outputs]))
 
 
 def unpack_outputs(raw: bytes) -> dict[int, bytes]:
-    """Decode the outputs of one part."""
+    """Decode one part of the outputs, by item."""
     return dict(msgpack.unpackb(raw))
--- a/src/quetzaldyke/gateway/job_store.py
+++ b/src/quetzaldyke/gateway/job_store.py
@@ -1,7 +1,8 @@
 """Writes and reads batch jobs in the store.
 
-Acceptance, listing and ending are one transaction each. A write whose answer
-is lost is settled by reading back before anything is said about it.
+Accepting a job, appending results and ending a job take one transaction each.
+After an acceptance, an append or a change of owner whose answer was lost, the
+record is read back, because the write may have been applied.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 )
 from quetzaldyke.gateway.job_table import JobTable, JobView
 from quetzaldyke.gateway.model import Route
-from quetzaldyke.gateway.new_job import NewJob, fitting
+from quetzaldyke.gateway.new_job import NewJob, trim_partials
 from quetzaldyke.gateway.part_cache import PartCache
 from quetzaldyke.parts.kv import ABSENT, ErrorKind, KvError
 from quetzaldyke.parts.transactions import (
@@ -39,22 +40,22 @@
     TransactionalStore,
 )
 
-# Below this share of the limit, jobs that others accept at the same moment
-# can't exceed it, so acceptances need not follow one another.
-UNORDERED_QUOTA_SHARE: Final = 0.5
-# Keys in one transaction.
-MAX_DELETES: Final = 32
-ACCEPT_TRIES: Final = 6
-# Errors of a write that was certainly not applied.
-CERTAIN_ERRORS: Final = frozenset(('unavailable', 'conflict', 'too_large'))
-VIEW_WAIT_S: Final = 0.4
+# Below this share of the limit, jobs that other entries accept concurrently
+# can't exceed it, so acceptances are not serialized on the quota key.
+UNSERIALIZED_QUOTA_SHARE: Final = 0.5
+# Keys deleted in one transaction.
+MAX_DELETES_PER_TRANSACTION: Final = 32
+MAX_ACCEPT_ATTEMPTS: Final = 6
+# Kinds of errors after which a write was certainly not applied.
+NOT_APPLIED_ERRORS: Final = frozenset(('unavailable', 'conflict', 'too_large'))
+UPDATE_WAIT_S: Final = 0.4
 
 AcceptFailure = Literal['over_quota', 'unavailable', 'unknown']
 
 
 @dataclass(slots=True)
 class JobStore:
-    """Jobs in the store, as one entry writes and reads them."""
+    """Writes and reads jobs in the store for one entry."""
 
     store: TransactionalStore
     table: JobTable
@@ -67,21 +68,25 @@
         job: NewJob,
         route: Route,
     ) -> Result[None, AcceptFailure]:
-        """Accept a job once; `unknown` if it may have been accepted."""
+        """Accept a job; a job that is already accepted is not written again.
+
+        Fails with `unknown` if the job may have been accepted, and with
+        another error only if it was certainly not.
+        """
         uncertain = False
-        for _ in range(ACCEPT_TRIES):
-            if self.table.view_known(job.record.job_id):
+        for _ in range(MAX_ACCEPT_ATTEMPTS):
+            if self.table.is_known(job.record.job_id):
                 return Ok(None)
             fits, condition = self.check_quota(job, route)
             if not fits and not uncertain:
                 return Err('over_quota')
             written = await self.store.transact(
-                self.acceptance(job, route, condition),
+                self.acceptance_transaction(job, route, condition),
             )
             if isinstance(written, Ok):
                 return Ok(None)
             kind = written.err_value.kind
-            uncertain |= kind not in CERTAIN_ERRORS
+            uncertain |= kind not in NOT_APPLIED_ERRORS
             if kind == 'unavailable' and not uncertain:
                 return Err('unavailable')
             if await self.was_accepted(job.record.job_id, kind):
@@ -89,15 +94,16 @@
         return Err('unknown' if uncertain else 'unavailable')
 
     async def was_accepted(self, job_id: str, kind: ErrorKind) -> bool:
-        """Tell whether a job is in the store after all."""
+        """Return whether a job is in the store although its write failed."""
         settled = await self.find(job_id)
         if isinstance(settled, Err):
             return False
         if settled.ok_value is not None:
             return True
         if kind == 'conflict':
-            # Another job was accepted; its quota must be seen first.
-            await self.wait_for_news()
+            # Another acceptance changed the quota key; the retry needs the
+            # new revision.
+            await self.wait_for_update()
         return False
 
     def check_quota(
@@ -105,24 +111,28 @@
         job: NewJob,
         route: Route,
     ) -> tuple[bool, int | None]:
-        """Tell whether a job fits, and the revision that must still hold."""
+        """Return whether a job fits into the quota of its route.
+
+        The second value is the revision that the quota key must still have
+        when the job is written; None if any revision will do.
+        """
         limit = route.batch.max_waiting_tokens if route.batch else 0
         if not limit:
             return True, None
         waiting = self.table.waiting_tokens(route.name) + job.tokens
         if waiting > limit:
             return False, None
-        if waiting <= limit * UNORDERED_QUOTA_SHARE:
+        if waiting <= limit * UNSERIALIZED_QUOTA_SHARE:
             return True, None
         return True, self.table.quota_revisions.get(route.name, ABSENT)
 
-    def acceptance(
+    def acceptance_transaction(
         self,
         job: NewJob,
         route: Route,
         quota_revision: int | None,
     ) -> Transaction:
-        """Return the transaction that accepts a job."""
+        """Return the transaction that writes a job, its state and bodies."""
         job_id = job.record.job_id
         conditions = {f'{JOB_PREFIX}{job_id}': ABSENT}
         quota_key = f'{QUOTA_PREFIX}{route.name}'
@@ -141,13 +151,16 @@
         )
         return Transaction(conditions, tuple(puts))
 
-    async def wait_for_news(self) -> None:
-        """Wait until the followed records have moved on."""
-        with anyio.move_on_after(VIEW_WAIT_S):
+    async def wait_for_update(self) -> None:
+        """Wait up to `UPDATE_WAIT_S` for the watch to deliver changes."""
+        with anyio.move_on_after(UPDATE_WAIT_S):
             await self.table.advanced.wait()
 
     async def find(self, job_id: str) -> Result[JobView | None, KvError]:
-        """Return a job, reading it if it was not seen yet."""
+        """Return a job, or None when there is no such job.
+
+        Reads the store if the watch has not delivered the job yet.
+        """
         view = self.table.jobs.get(job_id)
         if view is not None and view.known:
             return Ok(view)
@@ -165,7 +178,7 @@
         return Ok(self.table.view(job_id))
 
     async def end(self, job_id: str) -> Result[bool, KvError]:
-        """End a job; False when there is no such job."""
+        """Mark a job as ended; False when there is no such job."""
         found = await self.find(job_id)
         if isinstance(found, Err):
             return found
@@ -182,40 +195,44 @@
         self.table.apply(key, written.ok_value, b'1')
         return Ok(True)
 
-    async def list_results(
+    async def append_results(
         self,
         job_id: str,
         outcomes: list[tuple[int, bool, bytes]],
         failures: dict[int, int],
     ) -> Result[None, KvError]:
-        """Append results to a job that this entry owns."""
+        """Append results to a job that this entry owns.
+
+        Items that already have a result are skipped. Fails with `conflict` if
+        another entry owns the job or its state has changed.
+        """
         view = self.table.view(job_id)
         state = view.state
         if state is None or state.owner_id != self.owner_id:
             return Err(KvError('conflict', 'another entry owns the job'))
-        done = {one.item for one in state.listed}
+        done = {result.item for result in state.results}
         new = [row for row in outcomes if row[0] not in done]
         if not new:
             return Ok(None)
         key = f'{STATE_PREFIX}{job_id}'
-        part_key = result_key(job_id, state.parts)
-        after = state.with_results([row[:2] for row in new], failures)
+        part_key = result_key(job_id, state.part_count)
+        updated = state.with_results([row[:2] for row in new], failures)
         part = pack_outputs([(row[0], row[2]) for row in new])
         written = await self.store.transact(
             Transaction(
                 {key: view.state_revision},
-                (Put(key, after.pack()), Put(part_key, part)),
+                (Put(key, updated.pack()), Put(part_key, part)),
             ),
         )
         if isinstance(written, Ok):
-            self.table.apply(key, written.ok_value, after.pack())
+            self.table.apply(key, written.ok_value, updated.pack())
             self.cache.put(part_key, part)
             return Ok(None)
         await self.refresh_state(job_id)
         return written
 
     async def refresh_state(self, job_id: str) -> None:
-        """Read the state of a job after a write that did not succeed."""
+        """Read the state of a job again after a write that failed."""
         key = f'{STATE_PREFIX}{job_id}'
         answer = await self.store.get(key)
         if isinstance(answer, Ok) and answer.ok_value is not None:
@@ -223,7 +240,7 @@
             self.table.apply(key, record.revision, record.value)
 
     async def take_over(self, job_id: str) -> Result[None, KvError]:
-        """Become the owner of a job whose owner is gone."""
+        """Make this entry the owner of a job whose owner is lost."""
         return await self.set_owner(job_id, self.owner_id, self.instance, None)
 
     async def hand_over(
@@ -232,12 +249,12 @@
         successor: Member,
         partials: list[PartialOutput],
     ) -> Result[None, KvError]:
-        """Make another entry the owner, with what the runs produced."""
+        """Make another entry the owner and save the partial outputs for it."""
         return await self.set_owner(
             job_id,
             successor.owner_id,
             successor.instance,
-            fitting(partials),
+            trim_partials(partials),
         )
 
     async def set_owner(
@@ -247,10 +264,15 @@
         instance: str,
         partials: list[PartialOutput] | None,
     ) -> Result[None, KvError]:
-        """Change the owner of a job."""
+        """Change the owner of a job, if its state has not changed meanwhile.
+
+        Fails with `unavailable` if the state of the job is not known.
+        """
         view = self.table.view(job_id)
         if view.state is None:
-            return Err(KvError('unavailable', 'state not seen'))
+            return Err(
+                KvError('unavailable', 'the state of the job is not known')
+            )
         state = replace(
             view.state,
             owner_id=owner_id,
@@ -276,7 +298,10 @@
         job_id: str,
         partials: list[PartialOutput],
     ) -> Result[None, KvError]:
-        """Keep what the runs of a job produced, for the next owner."""
+        """Save the partial outputs of a job for its next owner.
+
+        Fails with `conflict` if the state of the job has changed meanwhile.
+        """
         view = self.table.view(job_id)
         key = f'{STATE_PREFIX}{job_id}'
         written = await self.store.transact(
@@ -285,7 +310,7 @@
                 (
                     Put(
                         f'{PARTIAL_PREFIX}{job_id}',
-                        pack_partials(fitting(partials)),
+                        pack_partials(trim_partials(partials)),
                     ),
                 ),
             ),
@@ -293,16 +318,19 @@
         return written if isinstance(written, Err) else Ok(None)
 
     async def read_partials(self, job_id: str) -> list[PartialOutput]:
-        """Return what earlier runs of a job produced."""
+        """Return the saved partial outputs; none if they can't be read."""
         answer = await self.store.get(f'{PARTIAL_PREFIX}{job_id}')
         if isinstance(answer, Err) or answer.ok_value is None:
             return []
         return unpack_partials(answer.ok_value.value)
 
     async def delete(self, job_id: str) -> None:
-        """Delete everything about a job; what remains is deleted later."""
+        """Delete all records of a job.
+
+        Stops at the first error; another call deletes the remaining ones.
+        """
         view = self.table.view(job_id)
-        parts = view.state.parts if view.state else 0
+        parts = view.state.part_count if view.state else 0
         bodies = 1
         if view.record is not None and view.record.items:
             bodies += view.record.items[-1].body_part
@@ -311,19 +339,24 @@
         keys.append(f'{PARTIAL_PREFIX}{job_id}')
         keys.append(f'{END_PREFIX}{job_id}')
         keys.append(f'{STATE_PREFIX}{job_id}')
-        # The job's own key goes last: while it is there, all is tried again.
+        # The job record is deleted last: as long as it exists, the deletion is
+        # retried.
         keys.append(f'{JOB_PREFIX}{job_id}')
-        for start in range(0, len(keys), MAX_DELETES):
-            batch = tuple(keys[start : start + MAX_DELETES])
+        for start in range(0, len(keys), MAX_DELETES_PER_TRANSACTION):
+            batch = tuple(keys[start : start + MAX_DELETES_PER_TRANSACTION])
             deleted = await self.store.transact(Transaction(deletes=batch))
             if isinstance(deleted, Err):
                 return
 
     async def read_part(self, key: str) -> Result[bytes, KvError]:
-        """Return a value that never changes once it is written."""
-        known = self.cache.get(key)
-        if known is not None:
-            return Ok(known)
+        """Return an immutable value from the cache or the store.
+
+        Tries a stale read first, which is cheap. Fails with `unknown` if the
+        key does not exist.
+        """
+        cached = self.cache.get(key)
+        if cached is not None:
+            return Ok(cached)
         for stale in (True, False):
             answer = await self.store.get(key, stale=stale)
             if isinstance(answer, Err):
@@ -338,7 +371,7 @@
         job_id: str,
         part: int,
     ) -> Result[bytes, KvError]:
-        """Return one part of a job's bodies."""
+        """Return one part of a job's bodies; errors as in `read_part`."""
         return await self.read_part(body_key(job_id, part))
 
     async def read_outputs(
@@ -346,7 +379,7 @@
         job_id: str,
         part: int,
     ) -> Result[dict[int, bytes], KvError]:
-        """Return the outputs of one part of a job's results."""
+        """Return the outputs in one part of a job's results, by item."""
         answer = await self.read_part(result_key(job_id, part))
         if isinstance(answer, Err):
             return answer
--- a/src/quetzaldyke/gateway/job_table.py
+++ b/src/quetzaldyke/gateway/job_table.py
@@ -1,4 +1,4 @@
-"""What an entry knows of all batch jobs, from the followed records."""
+"""Tracks all batch jobs and members, as watched in the store."""
 
 from __future__ import annotations
 
@@ -21,34 +21,34 @@
 
 @dataclass(slots=True)
 class JobView:
-    """One job as far as it is known."""
+    """What this entry knows of one job."""
 
     record: JobRecord | None = None
     state: JobState | None = None
     state_revision: int = 0
     ended: bool = False
-    # Set and replaced at each change, for those that wait for results.
+    # Set and replaced at each change, to wake readers that wait for results.
     changed: anyio.Event = field(default_factory=anyio.Event)
 
     @property
     def known(self) -> bool:
-        """Tell whether the job was accepted."""
+        """Return whether both the record and the state have been read."""
         return self.record is not None and self.state is not None
 
     @property
     def open(self) -> bool:
-        """Tell whether items are still to be run."""
+        """Return whether some items still have to run."""
         if self.record is None or self.state is None or self.ended:
             return False
-        return len(self.state.listed) < len(self.record.items)
+        return len(self.state.results) < len(self.record.items)
 
     def waiting_tokens(self) -> int:
-        """Return the tokens of items without a result."""
+        """Return the tokens of items without a result; 0 unless open."""
         if not self.open:
             return 0
         assert self.record is not None
         assert self.state is not None
-        done = {one.item for one in self.state.listed}
+        done = {result.item for result in self.state.results}
         return sum(
             item.tokens
             for index, item in enumerate(self.record.items)
@@ -56,26 +56,26 @@
         )
 
     def notify(self) -> None:
-        """Wake those that wait for a change."""
+        """Wake the tasks that wait for a change."""
         self.changed.set()
         self.changed = anyio.Event()
 
 
 @dataclass(slots=True)
 class JobTable:
-    """Jobs, members and quota revisions."""
+    """Jobs, members and quota revisions of the fleet."""
 
     jobs: dict[str, JobView] = field(default_factory=dict)
     members: dict[str, Member] = field(default_factory=dict)
     quota_revisions: dict[str, int] = field(default_factory=dict)
     revision: int = 0
-    # Set and replaced with each batch of changes.
+    # Set and replaced with each snapshot or set of changes.
     advanced: anyio.Event = field(default_factory=anyio.Event)
     on_job: Callable[[str], None] = lambda job_id: None
     on_members: Callable[[], None] = lambda: None
 
     def apply_snapshot(self, snapshot: Snapshot) -> None:
-        """Take over a whole list."""
+        """Apply a full listing and drop the members and jobs it lacks."""
         present = {record.key for record in snapshot.records}
         for owner_id in list(self.members):
             if f'{MEMBER_PREFIX}{owner_id}' not in present:
@@ -90,26 +90,26 @@
     def apply_changes(
         self, changes: list[WatchedChange], revision: int
     ) -> None:
-        """Take over changes in order."""
+        """Apply watched changes in order."""
         for change in changes:
             self.apply(change.key, change.revision, change.value)
         self.advance(revision)
 
     def advance(self, revision: int) -> None:
-        """Everything up to a revision was seen."""
+        """Record that all changes up to a revision have been applied."""
         self.revision = max(self.revision, revision)
         self.advanced.set()
         self.advanced = anyio.Event()
 
     def apply(self, key: str, revision: int, value: bytes | None) -> None:
-        """Take over one key."""
+        """Apply one key; a value that can't be decoded is only logged."""
         try:
             self.apply_key(key, revision, value)
         except (ValueError, TypeError) as exc:
             log_event('record_unreadable', key=key, fault=repr(exc))
 
     def apply_key(self, key: str, revision: int, value: bytes | None) -> None:
-        """Take over one key by its kind."""
+        """Apply one key, whose value is None after its deletion."""
         prefix, _, name = key.rpartition('/')
         match f'{prefix}/':
             case job_records.MEMBER_PREFIX:
@@ -124,19 +124,19 @@
                 self.quota_revisions[name] = revision
 
     def view(self, job_id: str) -> JobView:
-        """Return what is known of a job."""
-        known = self.jobs.get(job_id)
-        if known is None:
-            known = self.jobs[job_id] = JobView()
-        return known
-
-    def view_known(self, job_id: str) -> bool:
-        """Tell whether a job was seen."""
+        """Return the view of a job, which is new if the job is unknown."""
+        view = self.jobs.get(job_id)
+        if view is None:
+            view = self.jobs[job_id] = JobView()
+        return view
+
+    def is_known(self, job_id: str) -> bool:
+        """Return whether the record and the state of a job are known."""
         view = self.jobs.get(job_id)
         return view is not None and view.known
 
     def apply_member(self, owner_id: str, value: bytes | None) -> None:
-        """An entry came or went."""
+        """Add or remove a member."""
         if value is None:
             self.members.pop(owner_id, None)
         else:
@@ -149,7 +149,7 @@
         self.on_members()
 
     def apply_job(self, job_id: str, value: bytes | None) -> None:
-        """A job was accepted, or its retention is over."""
+        """Add an accepted job, or drop one that was deleted."""
         if value is None:
             self.jobs.pop(job_id, None)
             return
@@ -164,7 +164,7 @@
         revision: int,
         value: bytes | None,
     ) -> None:
-        """Owner or results of a job changed."""
+        """Update the owner and results, unless the revision is old."""
         if value is None:
             return
         view = self.view(job_id)
@@ -176,7 +176,7 @@
         self.on_job(job_id)
 
     def apply_end(self, job_id: str, value: bytes | None) -> None:
-        """The caller ended a job."""
+        """Mark a job as ended; a deletion of the mark is ignored."""
         if value is None:
             return
         view = self.view(job_id)
@@ -187,7 +187,7 @@
         self.on_job(job_id)
 
     def waiting_tokens(self, route: str) -> int:
-        """Return the tokens of all unfinished items of a route."""
+        """Return the tokens of all items of a route without a result."""
         return sum(
             view.waiting_tokens()
             for view in self.jobs.values()
--- a/src/quetzaldyke/gateway/new_job.py
+++ b/src/quetzaldyke/gateway/new_job.py
@@ -1,4 +1,4 @@
-"""A submitted job in the form in which the store keeps it."""
+"""Converts a submitted job into the records that the store keeps."""
 
 from __future__ import annotations
 
@@ -15,29 +15,30 @@
 from quetzaldyke.platform.jobs import SubmittedItem
 
 MS_IN_S: Final = 1000
-# Bodies and results are split into parts below the store's value limit.
+# Bodies are split and partial outputs trimmed to this size, which is below
+# the store's limit for a value.
 MAX_PART_BYTES: Final = 500_000
 
 
 @dataclass(frozen=True, slots=True)
 class NewJob:
-    """A job on its way into the store."""
+    """The records of a job that is not yet accepted."""
 
     record: JobRecord
     bodies: dict[int, bytes]
     tokens: int
 
 
-def fitting(partials: list[PartialOutput]) -> list[PartialOutput]:
-    """Return the partial outputs that fit into one value, longest first."""
+def trim_partials(partials: list[PartialOutput]) -> list[PartialOutput]:
+    """Return the longest partial outputs that fit into one value."""
     kept = []
     size = 0
-    longest_first = sorted(partials, key=lambda row: -len(row.output))
-    for one in longest_first:
-        size += len(one.output)
+    longest_first = sorted(partials, key=lambda partial: -len(partial.output))
+    for partial in longest_first:
+        size += len(partial.output)
         if size > MAX_PART_BYTES:
             break
-        kept.append(one)
+        kept.append(partial)
     return kept
 
 
@@ -46,25 +47,25 @@
     route: Route,
     submitted: list[SubmittedItem],
 ) -> NewJob:
-    """Return the records of a submitted job."""
+    """Return the records of a submitted job, accepted as of now."""
     bodies: dict[int, bytearray] = {0: bytearray()}
     items: list[ItemRecord] = []
-    for one in submitted:
+    for item in submitted:
         part = len(bodies) - 1
-        if bodies[part] and len(bodies[part]) + len(one.body) > MAX_PART_BYTES:
+        if bodies[part] and len(bodies[part]) + len(item.body) > MAX_PART_BYTES:
             part += 1
             bodies[part] = bytearray()
         start = len(bodies[part])
-        bodies[part] += one.body
+        bodies[part] += item.body
         items.append(
             ItemRecord(
-                one.item_id,
-                one.path,
-                one.headers,
-                one.tokens,
+                item.item_id,
+                item.path,
+                item.headers,
+                item.tokens,
                 part,
                 start,
-                len(one.body),
+                len(item.body),
             ),
         )
     record = JobRecord(
@@ -77,5 +78,5 @@
     return NewJob(
         record,
         {part: bytes(body) for part, body in bodies.items()},
-        sum(one.tokens for one in submitted),
+        sum(item.tokens for item in submitted),
     )
--- a/src/quetzaldyke/gateway/part_cache.py
+++ b/src/quetzaldyke/gateway/part_cache.py
@@ -1,4 +1,4 @@
-"""Keeps parts of bodies and results that were read lately."""
+"""Caches the parts of bodies and results that were used last."""
 
 from __future__ import annotations
 
@@ -6,29 +6,29 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-RESULT_CACHE_BYTES: Final = 6_000_000
+MAX_CACHE_BYTES: Final = 6_000_000
 
 
 @dataclass(slots=True)
 class PartCache:
-    """Parts that were read lately, bounded by their size."""
+    """A least-recently-used cache, bounded by the size of its parts."""
 
     parts: OrderedDict[str, bytes] = field(default_factory=OrderedDict)
-    size: int = 0
+    size_bytes: int = 0
 
     def get(self, key: str) -> bytes | None:
-        """Return a part and mark it as used."""
-        known = self.parts.get(key)
-        if known is not None:
+        """Return a part and mark it as used, or return None."""
+        cached = self.parts.get(key)
+        if cached is not None:
             self.parts.move_to_end(key)
-        return known
+        return cached
 
     def put(self, key: str, part: bytes) -> None:
-        """Keep a part and drop those that were not used for longest."""
+        """Add a part and evict the least recently used ones if too large."""
         if key in self.parts:
             return
         self.parts[key] = part
-        self.size += len(part)
-        while self.size > RESULT_CACHE_BYTES:
-            _, dropped = self.parts.popitem(last=False)
-            self.size -= len(dropped)
+        self.size_bytes += len(part)
+        while self.size_bytes > MAX_CACHE_BYTES:
+            _, evicted = self.parts.popitem(last=False)
+            self.size_bytes -= len(evicted)
--- a/tests/gateway_kit.py
+++ b/tests/gateway_kit.py
@@ -1,4 +1,4 @@
-"""Builders and fakes that the gateway's tests share."""
+"""Builders and fakes shared by the tests of the gateway."""
 
 from __future__ import annotations
 
@@ -82,7 +82,7 @@
 
 @dataclass(slots=True)
 class FakeTime:
-    """A clock that tests set."""
+    """A clock whose time is set by tests."""
 
     now_s: float = 100.0
 
@@ -110,16 +110,16 @@
 def set_running(
     loads: LoadTable, endpoint_id: str, online: int, batch: int
 ) -> None:
-    """Set this entry's counts of an endpoint."""
+    """Set this entry's request counts on an endpoint."""
     loads.own[endpoint_id] = Running(online, batch)
 
 
 @dataclass(slots=True)
 class FakeStore:
-    """A store in memory whose next writes can fail in chosen ways.
+    """An in-memory store that injects the faults in `write_faults`.
 
-    A fault of `unknown` loses the answer of a write that was applied,
-    `dropped` loses one that was not.
+    `unknown` loses the answer to a write that was applied; `dropped` loses
+    the answer to a write that was not.
     """
 
     state: StoreState = field(default_factory=StoreState)
@@ -153,7 +153,7 @@
         after_revision: int,
         wait_s: float,
     ) -> Result[WatchBatch, KvError]:
-        """Return what has changed by now."""
+        """Return the changes so far, without waiting."""
         changes = [
             WatchedChange(
                 event.key,
@@ -165,7 +165,7 @@
         return Ok(WatchBatch(changes, self.state.revision))
 
     async def transact(self, transaction: Transaction) -> Result[int, KvError]:
-        """Apply a transaction unless a fault is due."""
+        """Apply a transaction, or inject the next fault."""
         self.writes += 1
         fault = self.write_faults.pop(0) if self.write_faults else ''
         if fault == 'dropped':
@@ -197,7 +197,7 @@
 
 
 def encode(transaction: Transaction) -> dict[str, object]:
-    """Return a transaction in the stand-in's form."""
+    """Encode a transaction as the stand-in store expects it."""
     return {
         'if-rev': [
             {'key': key, 'revision': revision}
@@ -217,19 +217,19 @@
 
 @dataclass(slots=True)
 class Node:
-    """The batch side of one entry over a shared store."""
+    """The job store and job table of one entry on a shared store."""
 
     store: JobStore
     table: JobTable
 
     @classmethod
     def of(cls, store: FakeStore, owner_id: str) -> Node:
-        """Return a node that has seen nothing yet."""
+        """Return a node with an empty job table."""
         table = JobTable()
         return cls(JobStore(store, table, owner_id, f'i-{owner_id}'), table)
 
-    async def see(self) -> None:
-        """See every change so far."""
+    async def sync(self) -> None:
+        """Load every change so far into the job table."""
         answer = await self.store.store.list_prefix(FLEET_PREFIX)
         assert isinstance(answer, Ok)
         self.table.apply_snapshot(answer.ok_value)
--- a/tests/test_gateway_jobs.py
+++ b/tests/test_gateway_jobs.py
@@ -1,4 +1,4 @@
-"""Tests of batch jobs in the store: accepted once, listed once, quotas."""
+"""Tests of batch jobs in the store: acceptance, results and quotas."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
     """Return an entry that has accepted job `j`."""
     node = Node.of(store, 'a')
     assert await node.store.accept(new_job(), make_route('batch')) == Ok(None)
-    await node.see()
+    await node.sync()
     return node
 
 
 @pytest.mark.parametrize('fault', ['unknown', 'dropped'])
-async def test_lost_answer_to_an_acceptance(fault: str) -> None:
+async def test_acceptance_with_a_lost_answer_succeeds(fault: str) -> None:
     """Guards against a job that is refused although it was accepted."""
     store = FakeStore(write_faults=[fault])
     node = Node.of(store, 'a')
@@ -48,7 +48,7 @@
 
 
 async def test_refused_acceptance_left_nothing() -> None:
-    """Guards against a refusal that says not run while the job is kept."""
+    """Guards against a job that is stored although it was refused."""
     store = FakeStore(write_faults=['unavailable'])
     node = Node.of(store, 'a')
     answer = await node.store.accept(new_job(), make_route('batch'))
@@ -56,63 +56,65 @@
     assert not store.state.items
 
 
-async def test_uncertain_acceptance_is_never_called_refused() -> None:
-    """Guards against a true refusal being claimed after a lost write."""
+async def test_uncertain_acceptance_is_not_reported_as_refused() -> None:
+    """Guards against a refusal after a write that may have been applied."""
     store = FakeStore(write_faults=['dropped', *['unavailable'] * 9])
     node = Node.of(store, 'a')
     answer = await node.store.accept(new_job(), make_route('batch'))
     assert answer == Err('unknown')
 
 
-async def test_resend_at_another_entry_is_the_same_job() -> None:
+async def test_job_resent_to_another_entry_is_the_same_job() -> None:
     """Guards against a job that two entries accept."""
     store = FakeStore()
     await accepted_node(store)
     other = Node.of(store, 'b')
     assert await other.store.accept(new_job(), make_route('batch')) == Ok(None)
-    await other.see()
+    await other.sync()
     state = other.table.view('j').state
     assert state is not None
     assert state.owner_id == 'a'
 
 
-async def test_quota_over_all_entries() -> None:
-    """Guards against entries that each admit up to the whole quota."""
+async def test_quota_holds_over_all_entries() -> None:
+    """Guards against entries that each accept up to the whole quota."""
     store = FakeStore()
     route = make_route('batch', cap=100)
     nodes = [Node.of(store, name) for name in 'ab']
     for node in nodes:
-        await node.see()
+        await node.sync()
     answers = []
     for number, node in enumerate(nodes):
-        await node.see()
+        await node.sync()
         job = new_job(f'j{number}', tokens=20)
         answers.append(await node.store.accept(job, route))
     assert answers == [Ok(None), Err('over_quota')]
 
 
-async def test_quota_is_ordered_near_the_limit() -> None:
-    """Guards against two entries that fill the rest at the same moment."""
+async def test_acceptances_are_serialized_near_the_quota() -> None:
+    """Guards against two entries that both fill the rest of the quota."""
     store = FakeStore()
     route = make_route('batch', cap=100)
     stale = Node.of(store, 'a')
-    await stale.see()
+    await stale.sync()
     other = Node.of(store, 'b')
     assert await other.store.accept(new_job('j1', 20), route) == Ok(None)
-    # The first entry has not seen that job yet.
+    # The first entry does not know that job yet.
     answer = await stale.store.accept(new_job('j2', 20), route)
     assert isinstance(answer, Err)
 
 
-async def test_listed_result_keeps_its_position() -> None:
+async def test_result_keeps_its_position() -> None:
     """Guards against results that move or change after they were read."""
     node = await accepted_node(FakeStore())
-    await node.store.list_results('j', [(2, True, b'two')], {})
-    await node.store.list_results('j', [(0, False, b''), (1, True, b'one')], {})
+    await node.store.append_results('j', [(2, True, b'two')], {})
+    await node.store.append_results(
+        'j', [(0, False, b''), (1, True, b'one')], {}
+    )
     state = node.table.view('j').state
     assert state is not None
-    assert [one.item for one in state.listed] == [2, 0, 1]
-    outputs = await node.store.read_outputs('j', state.listed[0].part)
+    assert [result.item for result in state.results] == [2, 0, 1]
+    outputs = await node.store.read_outputs('j', state.results[0].part)
     assert outputs == Ok({2: b'two'})
 
 
@@ -128,20 +130,20 @@
     ),
 )
 @settings(max_examples=60, deadline=None)
-def test_no_item_is_listed_twice(
+def test_no_item_has_two_results(
     steps: list[tuple[str, int, str, bool]],
 ) -> None:
-    """Guards against double results with two owners and lost answers."""
+    """Guards against duplicate results with two owners and lost answers."""
     import anyio
 
     anyio.run(check_history, steps)
 
 
 async def check_history(steps: list[tuple[str, int, str, bool]]) -> None:
-    """Let two entries list and take over in any order."""
+    """Let two entries append and take over in any order."""
     store = FakeStore()
     nodes = {'a': await accepted_node(store), 'b': Node.of(store, 'b')}
-    await nodes['b'].see()
+    await nodes['b'].sync()
     seen: list[int] = []
     for name, item, fault, take_over in steps:
         node = nodes[name]
@@ -149,44 +151,44 @@
         if take_over:
             await node.store.take_over('j')
         else:
-            await node.store.list_results('j', [(item, True, b'x')], {})
+            await node.store.append_results('j', [(item, True, b'x')], {})
         fresh = Node.of(store, 'reader')
-        await fresh.see()
+        await fresh.sync()
         state = fresh.table.view('j').state
         assert state is not None
-        items = [one.item for one in state.listed]
+        items = [result.item for result in state.results]
         assert len(items) == len(set(items))
         assert items[: len(seen)] == seen
-        for listed in state.listed:
-            outputs = await fresh.store.read_outputs('j', listed.part)
+        for result in state.results:
+            outputs = await fresh.store.read_outputs('j', result.part)
             assert isinstance(outputs, Ok)
-            assert listed.item in outputs.ok_value
+            assert result.item in outputs.ok_value
         seen = items
 
 
-async def test_old_owner_cannot_list_after_a_takeover() -> None:
-    """Guards against a paused owner that wakes up and still writes."""
+async def test_old_owner_cannot_append_after_a_takeover() -> None:
+    """Guards against a paused owner that resumes and still writes."""
     store = FakeStore()
     old = await accepted_node(store)
     successor = Node.of(store, 'b')
-    await successor.see()
+    await successor.sync()
     assert await successor.store.take_over('j') == Ok(None)
-    answer = await old.store.list_results('j', [(0, True, b'x')], {})
+    answer = await old.store.append_results('j', [(0, True, b'x')], {})
     assert isinstance(answer, Err)
     state = successor.table.view('j').state
     assert state is not None
-    assert not state.listed
+    assert not state.results
 
 
-async def test_partial_outputs_pass_to_the_heir() -> None:
-    """Guards against work that is done again after a planned stop."""
+async def test_partial_outputs_pass_to_the_successor() -> None:
+    """Guards against repeated work after a planned shutdown."""
     store = FakeStore()
     node = await accepted_node(store)
     successor = Member('b', 'i-b', '127.0.0.1', 1)
     partials = [PartialOutput(1, 7, b'so far')]
     assert await node.store.hand_over('j', successor, partials) == Ok(None)
     other = Node.of(store, 'b')
-    await other.see()
+    await other.sync()
     state = other.table.view('j').state
     assert state is not None
     assert state.owner_id == 'b'
@@ -194,18 +196,18 @@
 
 
 async def test_end_is_seen_by_every_entry() -> None:
-    """Guards against a cancelled job that goes on elsewhere."""
+    """Guards against an ended job that continues on another entry."""
     store = FakeStore()
     node = await accepted_node(store)
     other = Node.of(store, 'b')
     assert await other.store.end('j') == Ok(True)
     assert await other.store.end('j') == Ok(True)
-    await node.see()
+    await node.sync()
     assert not node.table.view('j').open
     assert await other.store.end('unknown') == Ok(False)
 
 
-async def test_bodies_are_split_and_found_again() -> None:
+async def test_bodies_are_split_and_read_back() -> None:
     """Guards against bodies that get mixed up when a job is large."""
     items = [
         SubmittedItem(str(number), '/p/x', (), 1, bytes([number]) * 200_000)
@@ -219,11 +221,11 @@
         assert part[item.body_start : end] == bytes([number]) * 200_000
 
 
-async def test_deleted_job_leaves_nothing() -> None:
-    """Guards against a store that fills up with old jobs."""
+async def test_deleted_job_leaves_no_records() -> None:
+    """Guards against a store that fills up with expired jobs."""
     store = FakeStore()
     node = await accepted_node(store)
-    await node.store.list_results('j', [(0, True, b'x')], {})
+    await node.store.append_results('j', [(0, True, b'x')], {})
     await node.store.save_partials('j', [PartialOutput(1, 1, b'y')])
     await node.store.delete('j')
     assert not store.state.items
