--- a/src/quetzaldyke/gateway/batch_runner.py
+++ b/src/quetzaldyke/gateway/batch_runner.py
@@ -361,7 +361,7 @@
                 self.finish_item(job, progress, False)
 
     async def append_results(self, job: ActiveJob) -> None:
-        """Append finished items to the results in the store; may be retried."""
+        """Append finished items to the results in the store; `tick` retries."""
         results = list(job.finished)
         try:
             appended = await self.store.append_results(
