--- a/src/quetzaldyke/gateway/attempt.py
+++ b/src/quetzaldyke/gateway/attempt.py
@@ -7,7 +7,7 @@
 
 from quetzaldyke.gateway.answers import answer
 from quetzaldyke.gateway.broken_answer import BrokenAnswerError
-from quetzaldyke.gateway.dispatcher import Place
+from quetzaldyke.gateway.dispatcher import Reservation
 from quetzaldyke.gateway.event_stream import StreamOrderError
 from quetzaldyke.gateway.exchange import (
     Exchange,
@@ -82,13 +82,13 @@
     request: OnlineRequest
     caller: Caller
     progress: Progress
-    place: Place
+    reservation: Reservation
     exchange: Exchange
 
     @property
     def endpoint_id(self) -> str:
         """Return the id of the endpoint."""
-        return self.place.endpoint.endpoint_id
+        return self.reservation.endpoint.endpoint_id
 
     async def run(self) -> Outcome | None:
         """Serve the request; None when it has to go elsewhere."""
@@ -106,7 +106,7 @@
 
     async def send(self) -> ResponseHead:
         """Send the request and return the head of its answer."""
-        endpoint = self.place.endpoint
+        endpoint = self.reservation.endpoint
         idempotent = self.request.route.idempotent
         await self.context.client.start(
             endpoint.host,
@@ -119,7 +119,7 @@
         self.context.client.active.add(self.exchange)
         self.exchange.expires_at_s = first_head_s(
             self.request,
-            self.place,
+            self.reservation,
             self.progress.attempts,
             self.context.now(),
         )
@@ -131,9 +131,9 @@
         """Return until when the first event may take, 0 for no longer."""
         if self.progress.run_events or now_s >= self.request.deadline_s:
             return 0.0
-        silence_s = first_event_s(self.request.route, self.place)
-        book = self.context.dispatcher.book
-        return extended_s(book, self.place, silence_s, now_s)
+        silence_s = first_event_s(self.request.route, self.reservation)
+        endpoints = self.context.dispatcher.endpoints
+        return extended_s(endpoints, self.reservation, silence_s, now_s)
 
     def encode(self) -> bytes:
         """Return the request as the endpoint gets it."""
@@ -179,26 +179,26 @@
 
     def note_served(self) -> None:
         """Remember that the endpoint ran the request to its end."""
-        self.context.dispatcher.book.note_success(self.endpoint_id)
+        self.context.dispatcher.endpoints.note_success(self.endpoint_id)
         self.context.crashes.note_served(self.request.fingerprint())
 
     def eject_after(self, exc: ExchangeError) -> float:
         """Eject the endpoint unless it has just served others."""
-        book = self.context.dispatcher.book
+        endpoints = self.context.dispatcher.endpoints
         now_s = self.context.now()
         if exc.failure is Failure.STALLED:
-            since_s = self.place.taken_s
+            since_s = self.reservation.taken_s
         elif exc.failure is Failure.BROKEN:
             since_s = now_s - SERVING_S
         else:
             return self.eject()
-        if book.sent_since(self.endpoint_id, since_s):
-            return book.note_lost_answer(self.endpoint_id, now_s)
+        if endpoints.sent_since(self.endpoint_id, since_s):
+            return endpoints.note_lost_answer(self.endpoint_id, now_s)
         return self.eject()
 
     def eject(self) -> float:
         """Give the endpoint a pause; return for how long."""
-        return self.context.dispatcher.book.note_failure(
+        return self.context.dispatcher.endpoints.note_failure(
             self.endpoint_id,
             self.context.now(),
         )
@@ -213,7 +213,7 @@
             attempts=self.progress.attempts,
             last_event=self.progress.splitter.last_id,
             waited_ms=int(
-                (self.context.now() - self.place.taken_s) * MS_IN_S,
+                (self.context.now() - self.reservation.taken_s) * MS_IN_S,
             ),
             running=self.progress.running,
             ejected_s=ejected_s,
@@ -293,7 +293,9 @@
         if may_move and self.progress.run_events:
             limit_s = min(limit_s, now_s + next_event_s(route))
         elif may_move:
-            limit_s = min(limit_s, now_s + first_event_s(route, self.place))
+            limit_s = min(
+                limit_s, now_s + first_event_s(route, self.reservation)
+            )
         self.exchange.expires_at_s = limit_s
         chunk = await self.exchange.read_chunk()
         if not chunk:
@@ -303,7 +305,7 @@
         except StreamOrderError as exc:
             raise ExchangeError(Failure.MALFORMED, str(exc)) from exc
         now_s = self.context.now()
-        self.context.dispatcher.book.note_bytes(self.endpoint_id, now_s)
+        self.context.dispatcher.endpoints.note_bytes(self.endpoint_id, now_s)
         if events:
             self.progress.note_events(now_s)
             await self.caller.send(events)
--- a/src/quetzaldyke/gateway/batch_runner.py
+++ b/src/quetzaldyke/gateway/batch_runner.py
@@ -25,7 +25,7 @@
     pair,
     start_order,
 )
-from quetzaldyke.gateway.dispatcher import Dispatcher, Place
+from quetzaldyke.gateway.dispatcher import Dispatcher, Reservation
 from quetzaldyke.gateway.exchange import Exchange
 from quetzaldyke.gateway.http_client import HttpClient
 from quetzaldyke.gateway.item_run import ItemRun, RunContext
@@ -167,9 +167,9 @@
         now_s: float,
     ) -> None:
         """Start the most urgent items on the emptiest endpoints."""
-        if len(self.dispatcher.line(service)):
+        if len(self.dispatcher.queue(service)):
             return
-        usable = self.dispatcher.book.usable(service, now_s)
+        usable = self.dispatcher.endpoints.usable(service, now_s)
         demand = Demand(
             len(candidates),
             self.dispatcher.loads.pending_elsewhere(),
@@ -182,18 +182,18 @@
             job = self.jobs[candidate.job_id]
             progress = job.items[candidate.item]
             progress.running = True
-            place = self.dispatcher.take(endpoint, online=False)
-            self.group.start_soon(self.run_item, job, progress, place)
+            reservation = self.dispatcher.acquire_on(endpoint, online=False)
+            self.group.start_soon(self.run_item, job, progress, reservation)
 
     def preempt_surplus(self) -> None:
         """Stop own runs on endpoints that hold too many requests."""
         for endpoint_id, running in list(self.dispatcher.loads.own.items()):
             if not running.batch:
                 continue
-            belief = self.dispatcher.book.beliefs.get(endpoint_id)
-            if belief is None:
+            tracked = self.dispatcher.endpoints.by_id.get(endpoint_id)
+            if tracked is None:
                 continue
-            slots = belief.endpoint.slots
+            slots = tracked.endpoint.slots
             for _ in range(self.policy.surplus(endpoint_id, slots)):
                 self.stop_one(endpoint_id)
 
@@ -226,13 +226,13 @@
         self,
         job: ActiveJob,
         progress: ItemProgress,
-        place: Place,
+        reservation: Reservation,
     ) -> None:
         """Run an item; a fault in one run must not end the entry."""
         exchange = Exchange(names.ATTEMPT_ID, progress.record.item_id.encode())
-        progress.endpoint_id = place.endpoint.endpoint_id
+        progress.endpoint_id = reservation.endpoint.endpoint_id
         progress.exchange = exchange
-        run = ItemRun(self.run_context, job, progress, place, exchange)
+        run = ItemRun(self.run_context, job, progress, reservation, exchange)
         try:
             await run.run()
         except Exception as exc:
@@ -243,13 +243,13 @@
                 fault=repr(exc),
             )
         finally:
-            self.end_run(progress, place)
+            self.end_run(progress, reservation)
 
-    def end_run(self, progress: ItemProgress, place: Place) -> None:
+    def end_run(self, progress: ItemProgress, reservation: Reservation) -> None:
         """Give the place back and look for the next item."""
         progress.running = False
         progress.exchange = None
-        self.dispatcher.release(place)
+        self.dispatcher.release(reservation)
         self.schedule_soon()
 
     def finish(
--- a/src/quetzaldyke/gateway/batch_schedule.py
+++ b/src/quetzaldyke/gateway/batch_schedule.py
@@ -195,7 +195,7 @@
 
     def surplus(self, endpoint_id: str, slots: int) -> int:
         """Return how many own batch runs must leave an endpoint."""
-        own = self.loads.own_of(endpoint_id).batch
+        own = self.loads.own_counts(endpoint_id).batch
         excess = self.loads.total(endpoint_id) - slots
         if excess <= 0 or not own:
             return 0
--- a/src/quetzaldyke/gateway/configuration_feed.py
+++ b/src/quetzaldyke/gateway/configuration_feed.py
@@ -15,7 +15,7 @@
 from quetzaldyke.platform.records import decode_configuration
 
 # A configuration that was not confirmed for this long may be an old one.
-CONFIG_TRUST_S: Final = 4.0
+CONFIG_MAX_AGE_S: Final = 4.0
 
 
 @dataclass(slots=True)
@@ -33,7 +33,7 @@
 
     def is_current(self) -> bool:
         """Tell whether the configuration was confirmed lately."""
-        return self.now() - self.confirmed_s < CONFIG_TRUST_S
+        return self.now() - self.confirmed_s < CONFIG_MAX_AGE_S
 
     def is_engine(self, service: str) -> bool:
         """Tell whether the endpoints of a service are engines."""
@@ -46,27 +46,30 @@
         """Take over the operator's keys."""
         for record in snapshot.records:
             if record.key == names.CONFIG_KEY:
-                self.take(record.value)
+                self.apply(record.value)
 
     def on_changes(self, changes: list[WatchedChange], revision: int) -> None:
         """Take over changes of the operator's keys."""
         for change in changes:
             if change.key == names.CONFIG_KEY and change.value is not None:
-                self.take(change.value)
+                self.apply(change.value)
 
-    def take(self, raw: bytes) -> None:
+    def apply(self, raw: bytes) -> None:
         """Serve by a configuration unless a later one is in force."""
         decoded = decode_configuration(raw)
         if isinstance(decoded, Err):
             log_event('config_unreadable', reason=decoded.err_value)
             return
-        fresh = decoded.ok_value
-        if self.configuration and fresh.version <= self.configuration.version:
+        configuration = decoded.ok_value
+        if (
+            self.configuration
+            and configuration.version <= self.configuration.version
+        ):
             return
-        self.configuration = fresh
-        self.on_configuration(fresh)
+        self.configuration = configuration
+        self.on_configuration(configuration)
         log_event(
             'config_applied',
-            version=fresh.version,
-            routes=len(fresh.routes),
+            version=configuration.version,
+            routes=len(configuration.routes),
         )
--- a/src/quetzaldyke/gateway/dispatcher.py
+++ b/src/quetzaldyke/gateway/dispatcher.py
@@ -11,21 +11,21 @@
 
 from result import Err, Ok, Result
 
-from quetzaldyke.gateway.endpoints import EndpointBook
-from quetzaldyke.gateway.loads import LoadTable, Running
+from quetzaldyke.gateway.endpoints import EndpointTable
+from quetzaldyke.gateway.loads import LoadTable, RequestCounts
 from quetzaldyke.gateway.model import Endpoint, Route
 from quetzaldyke.gateway.placement import (
     QUEUED_PER_ENGINE,
     QUEUED_PER_SERVICE,
     PlacementPolicy,
 )
-from quetzaldyke.gateway.waiting_line import (
-    FIRST_EVENT_S,
-    WAIT_SHARE,
-    Waiter,
-    WaitingLine,
+from quetzaldyke.gateway.wait_queue import (
+    FIRST_EVENT_LATENCY_S,
+    MAX_WAIT_SHARE,
+    QueuedRequest,
+    WaitQueue,
     may_wait,
-    patience_s,
+    max_queue_time_s,
     retry_after_s,
 )
 from quetzaldyke.parts.timers import Clock
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class Place:
+class Reservation:
     """A place that a request holds on an endpoint."""
 
     endpoint: Endpoint
@@ -64,7 +64,7 @@
 class Dispatcher:
     """Places, loads and the waiting lines of all services."""
 
-    book: EndpointBook
+    endpoints: EndpointTable
     loads: LoadTable
     policy: PlacementPolicy
     clock: Clock
@@ -77,68 +77,68 @@
     preempt_batch: Callable[[Endpoint], None] = lambda endpoint: None
     # Told when the own counts of an endpoint changed.
     on_change: Callable[[str], None] = lambda endpoint_id: None
-    lines: dict[str, WaitingLine] = field(default_factory=dict)
+    queues: dict[str, WaitQueue] = field(default_factory=dict)
 
-    def line(self, service: str) -> WaitingLine:
+    def queue(self, service: str) -> WaitQueue:
         """Return the waiting line of a service."""
-        known = self.lines.get(service)
+        known = self.queues.get(service)
         if known is None:
-            known = self.lines[service] = WaitingLine()
+            known = self.queues[service] = WaitQueue()
         return known
 
-    def try_place(
+    def try_acquire(
         self,
         service: str,
         excluded: Collection[str] = (),
         *,
-        careful: bool = False,
-    ) -> Place | None:
+        avoid_failing: bool = False,
+    ) -> Reservation | None:
         """Take a place for an online request if there is one."""
         engine = self.is_engine(service)
         choice = self.policy.choose(
-            self.book.usable(
+            self.endpoints.usable(
                 service,
                 self.clock.now(),
                 excluded,
-                careful=careful,
+                avoid_failing=avoid_failing,
             ),
             QUEUED_PER_ENGINE if engine else QUEUED_PER_SERVICE,
         )
         if choice is None:
             return None
-        place = self.take(choice.endpoint, online=True)
-        if choice.yield_batch:
+        reservation = self.acquire_on(choice.endpoint, online=True)
+        if choice.preempt_batch:
             self.preempt_batch(choice.endpoint)
-        return place
+        return reservation
 
-    def take(self, endpoint: Endpoint, *, online: bool) -> Place:
+    def acquire_on(self, endpoint: Endpoint, *, online: bool) -> Reservation:
         """Count a request on an endpoint."""
-        running = self.loads.own_of(endpoint.endpoint_id)
+        running = self.loads.own_counts(endpoint.endpoint_id)
         if online:
             running.online += 1
         else:
             running.batch += 1
         self.on_change(endpoint.endpoint_id)
         queued = self.loads.total(endpoint.endpoint_id) > endpoint.slots
-        return Place(endpoint, online, self.clock.now(), queued)
+        return Reservation(endpoint, online, self.clock.now(), queued)
 
-    def release(self, place: Place) -> None:
+    def release(self, reservation: Reservation) -> None:
         """Give a place back and serve those that wait."""
-        if place.released:
+        if reservation.released:
             return
-        place.released = True
-        running = self.loads.own_of(place.endpoint.endpoint_id)
-        service = place.endpoint.service
-        if place.online:
+        reservation.released = True
+        running = self.loads.own_counts(reservation.endpoint.endpoint_id)
+        service = reservation.endpoint.service
+        if reservation.online:
             running.online -= 1
-            held_s = self.clock.now() - place.taken_s
-            self.line(service).note_hold(held_s)
+            held_s = self.clock.now() - reservation.taken_s
+            self.queue(service).record_hold(held_s)
         else:
             running.batch -= 1
-        self.on_change(place.endpoint.endpoint_id)
-        self.line(service).serve(self.clock.now())
+        self.on_change(reservation.endpoint.endpoint_id)
+        self.queue(service).serve(self.clock.now())
 
-    async def place(
+    async def acquire(
         self,
         service: str,
         route: Route,
@@ -146,42 +146,42 @@
         excluded: Collection[str],
         *,
         sent_before: bool = False,
-    ) -> Result[Place, Refusal]:
+    ) -> Result[Reservation, Refusal]:
         """Take a place, wait for one, or refuse.
 
         A request that an endpoint had before waits like a caller that has
         come back: it may have run, so it could not be refused truly.
         """
         now_s = self.clock.now()
-        if not self.book.usable(service, now_s):
+        if not self.endpoints.usable(service, now_s):
             return Err(Refusal('no_endpoint', NO_ENDPOINT_RETRY_S))
-        if not len(self.line(service)):
-            place = self.try_place(
+        if not len(self.queue(service)):
+            reservation = self.try_acquire(
                 service,
                 excluded,
-                careful=not route.idempotent,
+                avoid_failing=not route.idempotent,
             )
-            if place is not None:
-                return Ok(place)
+            if reservation is not None:
+                return Ok(reservation)
         left_s = deadline_s - now_s
         expected_s = self.expected_wait_s(service)
         full_s = math.inf if sent_before else route.timeout_s
         if not may_wait(expected_s, route.target_s, left_s, full_s):
             return Err(self.refusal('no_slot_in_time', service, left_s))
-        return await self.wait_in_line(service, route, deadline_s, excluded)
+        return await self.wait_in_queue(service, route, deadline_s, excluded)
 
     def refusal(self, reason: str, service: str, left_s: float) -> Refusal:
         """Return a refusal with the time to come back."""
         now_s = self.clock.now()
-        usable = self.book.usable(service, now_s)
+        usable = self.endpoints.usable(service, now_s)
         slots = sum(one.slots for one in usable)
-        line = self.line(service)
-        return_s = line.next_return_s(now_s, slots / self.count_entries())
+        queue = self.queue(service)
+        retry_at_s = queue.next_retry_s(now_s, slots / self.count_entries())
         return Refusal(
             reason,
-            retry_after_s(return_s, now_s, left_s),
+            retry_after_s(retry_at_s, now_s, left_s),
             self.expected_wait_s(service),
-            len(line),
+            len(queue),
             self.loads.waiting_elsewhere(service),
             slots,
         )
@@ -191,43 +191,43 @@
 
         Those that wait in the engines' own queues are ahead of it too.
         """
-        usable = self.book.usable(service, self.clock.now())
+        usable = self.endpoints.usable(service, self.clock.now())
         queued = sum(
             max(0, self.loads.online(one.endpoint_id) - one.slots)
             for one in usable
         )
-        return self.line(service).expected_wait_s(
+        return self.queue(service).expected_wait_s(
             sum(one.slots for one in usable),
             queued + self.loads.waiting_elsewhere(service),
         )
 
     def waiting(self) -> dict[str, int]:
         """Return how many wait by service."""
-        return {key: len(line) for key, line in self.lines.items() if line}
+        return {key: len(queue) for key, queue in self.queues.items() if queue}
 
-    async def wait_in_line(
+    async def wait_in_queue(
         self,
         service: str,
         route: Route,
         deadline_s: float,
         excluded: Collection[str],
-    ) -> Result[Place, Refusal]:
+    ) -> Result[Reservation, Refusal]:
         """Wait until a place is free or the time is over."""
-        outcome: asyncio.Future[Place | None] = (
+        outcome: asyncio.Future[Reservation | None] = (
             asyncio.get_running_loop().create_future()
         )
 
         def try_start() -> bool:
             if outcome.done():
                 return True
-            place = self.try_place(
+            reservation = self.try_acquire(
                 service,
                 excluded,
-                careful=not route.idempotent,
+                avoid_failing=not route.idempotent,
             )
-            if place is not None:
-                outcome.set_result(place)
-            return place is not None
+            if reservation is not None:
+                outcome.set_result(reservation)
+            return reservation is not None
 
         def refuse() -> None:
             if not outcome.done():
@@ -235,52 +235,52 @@
 
         now_s = self.clock.now()
         longest_s = min(
-            patience_s(route.target_s, route.max_gap_s),
-            WAIT_SHARE * (deadline_s - now_s),
+            max_queue_time_s(route.target_s, route.max_gap_s),
+            MAX_WAIT_SHARE * (deadline_s - now_s),
         )
-        waiter = Waiter(
+        request = QueuedRequest(
             route.priority,
-            now_s + route.target_s - FIRST_EVENT_S,
+            now_s + route.target_s - FIRST_EVENT_LATENCY_S,
             now_s + longest_s,
             try_start,
             refuse,
         )
-        self.line(service).add(waiter)
+        self.queue(service).add(request)
         try:
-            place = await outcome
+            reservation = await outcome
         except asyncio.CancelledError:
-            waiter.cancelled = True
+            request.cancelled = True
             if outcome.done() and not outcome.cancelled():
                 taken = outcome.result()
                 if taken is not None:
                     self.release(taken)
             raise
-        if place is not None:
-            return Ok(place)
+        if reservation is not None:
+            return Ok(reservation)
         left_s = deadline_s - self.clock.now()
         return Err(self.refusal('waited_too_long', service, left_s))
 
-    def take_report(
+    def apply_report(
         self,
         peer: str,
-        counts: dict[str, Running],
+        counts: dict[str, RequestCounts],
         waiting: dict[str, int],
         pending: int,
     ) -> None:
         """Take over what a peer runs, and serve those that wait."""
         now_s = self.clock.now()
-        self.loads.take_report(peer, counts, waiting, pending, now_s)
-        self.serve_lines()
+        self.loads.apply_report(peer, counts, waiting, pending, now_s)
+        self.serve_queues()
 
-    def serve_lines(self) -> None:
+    def serve_queues(self) -> None:
         """Start waiting requests where there is room."""
         now_s = self.clock.now()
-        for line in self.lines.values():
-            line.serve(now_s)
+        for queue in self.queues.values():
+            queue.serve(now_s)
 
     async def tick(self) -> None:
         """Serve and refuse waiting requests as time passes."""
         now_s = self.clock.now()
-        self.serve_lines()
-        for line in self.lines.values():
-            line.drop_late(now_s)
+        self.serve_queues()
+        for queue in self.queues.values():
+            queue.refuse_expired(now_s)
--- a/src/quetzaldyke/gateway/endpoint_feed.py
+++ b/src/quetzaldyke/gateway/endpoint_feed.py
@@ -7,7 +7,7 @@
 
 from result import Err
 
-from quetzaldyke.gateway.endpoints import EndpointBook
+from quetzaldyke.gateway.endpoints import EndpointTable
 from quetzaldyke.gateway.logs import log_event
 from quetzaldyke.parts.transactions import Snapshot, WatchedChange
 from quetzaldyke.platform import names
@@ -18,7 +18,7 @@
 class EndpointFeed:
     """Feeds the book of endpoints."""
 
-    book: EndpointBook
+    table: EndpointTable
     now: Callable[[], float]
     # Told after the list has changed.
     on_change: Callable[[], None]
@@ -37,7 +37,7 @@
                 )
                 continue
             endpoints.append(decoded.ok_value)
-        gone = self.book.replace_all(endpoints, self.now())
+        gone = self.table.replace_all(endpoints, self.now())
         self.listed = True
         log_event(
             'endpoints_listed',
@@ -52,7 +52,7 @@
         for change in changes:
             endpoint_id = change.key.removeprefix(names.ENDPOINT_PREFIX)
             if change.value is None:
-                gone = self.book.remove(endpoint_id, self.now())
+                gone = self.table.remove(endpoint_id, self.now())
                 state = 'gone' if gone else 'lapsed'
             else:
                 state = self.put(change.key, change.value)
@@ -69,5 +69,5 @@
         decoded = decode_endpoint(key, raw)
         if isinstance(decoded, Err):
             return f'unreadable {decoded.err_value}'
-        self.book.put(decoded.ok_value)
+        self.table.put(decoded.ok_value)
         return decoded.ok_value.state
--- a/src/quetzaldyke/gateway/endpoints.py
+++ b/src/quetzaldyke/gateway/endpoints.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class EndpointBelief:
+class TrackedEndpoint:
     """One endpoint and what was seen of it."""
 
     endpoint: Endpoint
@@ -45,11 +45,11 @@
 
 
 @dataclass(slots=True)
-class EndpointBook:
+class EndpointTable:
     """Endpoints by id."""
 
-    beliefs: dict[str, EndpointBelief] = field(default_factory=dict)
-    by_service: dict[str, list[EndpointBelief]] = field(default_factory=dict)
+    by_id: dict[str, TrackedEndpoint] = field(default_factory=dict)
+    by_service: dict[str, list[TrackedEndpoint]] = field(default_factory=dict)
     outage: bool = False
     # Time at which lapsed entries that did not come back count as gone.
     lapse_ends_s: float = 0.0
@@ -61,7 +61,7 @@
     ) -> list[str]:
         """Take over a whole list; return the ids that are gone."""
         listed = {one.endpoint_id: one for one in endpoints}
-        missing = [one for one in self.beliefs if one not in listed]
+        missing = [one for one in self.by_id if one not in listed]
         gone = [one for one in missing if self.remove(one, now_s)]
         for endpoint in listed.values():
             self.put(endpoint)
@@ -69,39 +69,39 @@
 
     def put(self, endpoint: Endpoint) -> None:
         """Add an endpoint or take over a change of its entry."""
-        known = self.beliefs.get(endpoint.endpoint_id)
-        if known is not None:
-            known.lapsed = False
-            restarted = known.endpoint.started_ms != endpoint.started_ms
-            known.endpoint = endpoint
+        tracked = self.by_id.get(endpoint.endpoint_id)
+        if tracked is not None:
+            tracked.lapsed = False
+            restarted = tracked.endpoint.started_ms != endpoint.started_ms
+            tracked.endpoint = endpoint
             if not restarted:
                 return
-            known.ejected_until_s = 0.0
-            known.failures_in_row = 0
-            known.failure_share = 0.0
+            tracked.ejected_until_s = 0.0
+            tracked.failures_in_row = 0
+            tracked.failure_share = 0.0
         else:
-            self.beliefs[endpoint.endpoint_id] = EndpointBelief(endpoint)
+            self.by_id[endpoint.endpoint_id] = TrackedEndpoint(endpoint)
         self.index()
 
     def remove(self, endpoint_id: str, now_s: float) -> bool:
         """Note that an entry is missing; tell whether it counts as gone."""
-        known = self.beliefs.get(endpoint_id)
-        if known is None:
+        tracked = self.by_id.get(endpoint_id)
+        if tracked is None:
             return False
-        leaving = known.endpoint.state == 'draining'
+        leaving = tracked.endpoint.state == 'draining'
         if not leaving and (self.outage or now_s < self.lapse_ends_s):
-            known.lapsed = True
+            tracked.lapsed = True
             return False
-        del self.beliefs[endpoint_id]
+        del self.by_id[endpoint_id]
         self.index()
         return True
 
     def index(self) -> None:
         """Group the beliefs by service."""
         self.by_service = {}
-        for belief in self.beliefs.values():
-            service = belief.endpoint.service
-            self.by_service.setdefault(service, []).append(belief)
+        for tracked in self.by_id.values():
+            service = tracked.endpoint.service
+            self.by_service.setdefault(service, []).append(tracked)
 
     def outage_began(self) -> None:
         """Keep entries that go missing from now on."""
@@ -116,18 +116,18 @@
         """Only this entry lost the list, so no entry has lapsed in it."""
         self.outage = False
 
-    def is_gone(self, belief: EndpointBelief, now_s: float) -> bool:
+    def is_gone(self, tracked: TrackedEndpoint, now_s: float) -> bool:
         """Tell whether a lapsed entry has stayed away for too long."""
         over = not self.outage and now_s >= self.lapse_ends_s
-        return belief.lapsed and over
+        return tracked.lapsed and over
 
     def drop_lapsed(self, now_s: float) -> list[str]:
         """Remove entries that did not come back after an outage."""
         gone = [
-            key for key, one in self.beliefs.items() if self.is_gone(one, now_s)
+            key for key, one in self.by_id.items() if self.is_gone(one, now_s)
         ]
         for endpoint_id in gone:
-            del self.beliefs[endpoint_id]
+            del self.by_id[endpoint_id]
         if gone:
             self.index()
         return gone
@@ -138,7 +138,7 @@
         now_s: float,
         excluded: Iterable[str] = (),
         *,
-        careful: bool = False,
+        avoid_failing: bool = False,
     ) -> list[Endpoint]:
         """Return the endpoints that may get a new request.
 
@@ -153,60 +153,60 @@
             for one in self.by_service.get(service, ())
             if one.endpoint.state == 'ready' and not self.is_gone(one, now_s)
         ]
-        fresh = [
+        remaining = [
             one for one in listed if one.endpoint.endpoint_id not in excluded
         ]
-        listed = fresh or listed
-        sound = [one for one in listed if one.ejected_until_s <= now_s]
-        if careful:
-            proved = [one for one in sound if not one.failures_in_row]
-            sound = proved or sound
-        return [one.endpoint for one in sound or listed]
+        listed = remaining or listed
+        healthy = [one for one in listed if one.ejected_until_s <= now_s]
+        if avoid_failing:
+            confirmed = [one for one in healthy if not one.failures_in_row]
+            healthy = confirmed or healthy
+        return [one.endpoint for one in healthy or listed]
 
     def note_bytes(self, endpoint_id: str, now_s: float) -> None:
         """Bytes came from an endpoint."""
-        known = self.beliefs.get(endpoint_id)
-        if known is not None:
-            known.last_bytes_s = now_s
+        tracked = self.by_id.get(endpoint_id)
+        if tracked is not None:
+            tracked.last_bytes_s = now_s
 
     def sent_since(self, endpoint_id: str, since_s: float) -> bool:
         """Tell whether an endpoint has sent something since a time."""
-        known = self.beliefs.get(endpoint_id)
-        return known is not None and known.last_bytes_s >= since_s
+        tracked = self.by_id.get(endpoint_id)
+        return tracked is not None and tracked.last_bytes_s >= since_s
 
     def note_success(self, endpoint_id: str) -> None:
         """An endpoint answered."""
-        known = self.beliefs.get(endpoint_id)
-        if known is not None:
-            known.failures_in_row = 0
-            known.failure_share *= 1 - FAILURE_WEIGHT
+        tracked = self.by_id.get(endpoint_id)
+        if tracked is not None:
+            tracked.failures_in_row = 0
+            tracked.failure_share *= 1 - FAILURE_WEIGHT
 
     def note_lost_answer(self, endpoint_id: str, now_s: float) -> float:
         """An endpoint that serves others lost one answer.
 
         It is ejected only when it loses a large share of them.
         """
-        known = self.beliefs.get(endpoint_id)
-        if known is None:
+        tracked = self.by_id.get(endpoint_id)
+        if tracked is None:
             return 0.0
-        known.failure_share += FAILURE_WEIGHT * (1 - known.failure_share)
-        if known.failure_share <= MAX_FAILURE_SHARE:
+        tracked.failure_share += FAILURE_WEIGHT * (1 - tracked.failure_share)
+        if tracked.failure_share <= MAX_FAILURE_SHARE:
             return 0.0
-        known.ejected_until_s = now_s + MAX_EJECTION_S
+        tracked.ejected_until_s = now_s + MAX_EJECTION_S
         return MAX_EJECTION_S
 
     def note_failure(self, endpoint_id: str, now_s: float) -> float:
         """An endpoint failed; return for how long it is ejected."""
-        known = self.beliefs.get(endpoint_id)
-        if known is None:
+        tracked = self.by_id.get(endpoint_id)
+        if tracked is None:
             return 0.0
-        known.failures_in_row += 1
-        known.failure_share += FAILURE_WEIGHT * (1 - known.failure_share)
-        doublings = min(known.failures_in_row - 1, 8)
+        tracked.failures_in_row += 1
+        tracked.failure_share += FAILURE_WEIGHT * (1 - tracked.failure_share)
+        doublings = min(tracked.failures_in_row - 1, 8)
         ejected_s = min(
             MAX_EJECTION_S, FIRST_EJECTION_S * EJECTION_FACTOR**doublings
         )
-        if known.failure_share > MAX_FAILURE_SHARE:
+        if tracked.failure_share > MAX_FAILURE_SHARE:
             ejected_s = MAX_EJECTION_S
-        known.ejected_until_s = now_s + ejected_s
+        tracked.ejected_until_s = now_s + ejected_s
         return ejected_s
--- a/src/quetzaldyke/gateway/entry.py
+++ b/src/quetzaldyke/gateway/entry.py
@@ -16,9 +16,9 @@
 from quetzaldyke.gateway.crashes import CrashBook
 from quetzaldyke.gateway.dispatcher import Dispatcher
 from quetzaldyke.gateway.endpoint_feed import EndpointFeed
-from quetzaldyke.gateway.endpoints import EndpointBook
+from quetzaldyke.gateway.endpoints import EndpointTable
 from quetzaldyke.gateway.gossip import (
-    CrashNews,
+    CrashReport,
     Gossip,
     GossipMessage,
     JobEnded,
@@ -77,7 +77,7 @@
     health: StoreHealth
     client: HttpClient
     store: PlatformStore
-    book: EndpointBook
+    endpoint_table: EndpointTable
     loads: LoadTable
     dispatcher: Dispatcher
     jobs: JobBook
@@ -121,10 +121,10 @@
             client,
             lambda call, answered: entry.note_call(call, answered=answered),
         )
-        book = EndpointBook()
+        endpoint_table = EndpointTable()
         loads = LoadTable()
         dispatcher = Dispatcher(
-            book,
+            endpoint_table,
             loads,
             PlacementPolicy(installation.failure_domain, generator, loads),
             clock,
@@ -150,7 +150,7 @@
                 client,
                 CrashBook(
                     tell=lambda crashes, cleared: entry.gossip.broadcast(
-                        CrashNews(owner_id, crashes, cleared),
+                        CrashReport(owner_id, crashes, cleared),
                     ),
                 ),
                 clock.now,
@@ -171,7 +171,7 @@
             health=health,
             client=client,
             store=store,
-            book=book,
+            endpoint_table=endpoint_table,
             loads=loads,
             dispatcher=dispatcher,
             jobs=jobs,
@@ -183,7 +183,7 @@
                     loads.report(),
                     dispatcher.waiting(),
                     entry.runner.pending() if entry.runner else 0,
-                    store.path.direct.well_s(clock.now()),
+                    store.path.direct.up_s(clock.now()),
                 ),
                 lambda message: entry.on_gossip(message),
             ),
@@ -196,7 +196,7 @@
                 lambda configuration: entry.on_configuration(configuration),
             ),
             endpoints=EndpointFeed(
-                book,
+                endpoint_table,
                 clock.now,
                 lambda: entry.on_endpoints(),
             ),
@@ -244,7 +244,7 @@
 
     def on_endpoints(self) -> None:
         """The list of endpoints changed."""
-        self.dispatcher.serve_lines()
+        self.dispatcher.serve_queues()
         self.note_news()
 
     def note_news(self) -> None:
@@ -277,7 +277,7 @@
             return
         peers = self.loads.batch_peers(endpoint_id)
         if peers:
-            self.gossip.tell(
+            self.gossip.send(
                 peers[0][1],
                 PreemptBatch(self.member.owner_id, endpoint_id),
             )
@@ -285,15 +285,15 @@
     def on_gossip(self, message: GossipMessage) -> None:
         """Take over what a peer says."""
         match message:
-            case LoadReport(sender, counts, waiting, pending, store_well_s):
+            case LoadReport(sender, counts, waiting, pending, store_up_s):
                 now_s = self.clock.now()
-                self.dispatcher.take_report(sender, counts, waiting, pending)
+                self.dispatcher.apply_report(sender, counts, waiting, pending)
                 address = self.gossip.peers.get(sender)
                 if address is not None:
                     self.store.path.note_peer(
                         sender,
                         address,
-                        store_well_s=store_well_s,
+                        store_up_s=store_up_s,
                         now_s=now_s,
                     )
                 if self.runner is not None:
@@ -303,22 +303,22 @@
                     self.runner.stop_one(endpoint_id)
             case JobEnded(_, job_id):
                 self.jobs.apply(f'{END_PREFIX}{job_id}', 0, b'1')
-            case CrashNews(_, crashes, cleared):
+            case CrashReport(_, crashes, cleared):
                 self.ingress.context.crashes.merge(crashes, cleared)
 
     def on_store_lost(self) -> None:
         """The store stopped answering."""
-        self.book.outage_began()
+        self.endpoint_table.outage_began()
         log_event('dependency_lost', dependency='store')
 
     def on_store_regained(self) -> None:
         """The store answers again."""
         now_s = self.clock.now()
-        local = self.store.path.peer_was_well_since(self.health.lost_s, now_s)
+        local = self.store.path.any_peer_up_since(self.health.down_at_s, now_s)
         if local:
-            self.book.outage_was_local()
+            self.endpoint_table.outage_was_local()
         else:
-            self.book.outage_ended(now_s)
+            self.endpoint_table.outage_ended(now_s)
         log_event('dependency_regained', dependency='store', local=local)
 
     def on_members(self) -> None:
@@ -377,7 +377,7 @@
     async def gossip_tick(self) -> None:
         """Report to peers, and forget the silent ones."""
         await self.gossip.heartbeat()
-        silent = self.loads.forget_silent(self.clock.now())
+        silent = self.loads.remove_silent_peers(self.clock.now())
         if silent:
             log_event('peers_silent', peers=','.join(silent))
 
@@ -385,9 +385,9 @@
         """Forget what is over."""
         self.client.drop_expired()
         self.ingress.context.crashes.forget_old()
-        self.store.path.forget_silent(self.clock.now())
+        self.store.path.remove_silent_peers(self.clock.now())
         await self.store.probe_direct()
-        gone = self.book.drop_lapsed(self.clock.now())
+        gone = self.endpoint_table.drop_lapsed(self.clock.now())
         if gone:
             log_event('endpoints_gone', endpoints=','.join(gone))
         if self.callers is not None:
--- a/src/quetzaldyke/gateway/entry_process.py
+++ b/src/quetzaldyke/gateway/entry_process.py
@@ -25,7 +25,7 @@
 from quetzaldyke.gateway.metrics_app import metrics_app
 from quetzaldyke.gateway.model import Installation, Route
 from quetzaldyke.gateway.store_tunnel import serve_tunnels
-from quetzaldyke.gateway.watch import Follower
+from quetzaldyke.gateway.watch import PrefixWatcher
 from quetzaldyke.platform import names
 
 # The balancer takes an unready entry out after two misses.
@@ -146,30 +146,30 @@
 
 def follow_store(entry: Entry, group: TaskGroup) -> None:
     """Follow configuration, endpoints and jobs."""
-    followers = [
-        Follower(
+    watchers = [
+        PrefixWatcher(
             entry.store,
             names.OPERATOR_PREFIX,
             entry.configurations.on_snapshot,
             entry.configurations.on_changes,
         ),
-        Follower(
+        PrefixWatcher(
             entry.store,
             names.ENDPOINT_PREFIX,
             entry.endpoints.on_snapshot,
             entry.endpoints.on_changes,
         ),
-        Follower(
+        PrefixWatcher(
             entry.store,
             FLEET_PREFIX,
             entry.jobs.take_snapshot,
             entry.jobs.take_changes,
-            pause_s=entry.fleet_pause_s,
+            poll_delay_s=entry.fleet_pause_s,
         ),
     ]
-    followers[0].on_step = entry.configurations.confirm
-    for follower in followers:
-        group.start_soon(follower.run)
+    watchers[0].on_success = entry.configurations.confirm
+    for watcher in watchers:
+        group.start_soon(watcher.run)
 
 
 async def watch_signals(entry: Entry) -> None:
--- a/src/quetzaldyke/gateway/gossip.py
+++ b/src/quetzaldyke/gateway/gossip.py
@@ -15,7 +15,7 @@
 
 import msgpack
 
-from quetzaldyke.gateway.loads import Running
+from quetzaldyke.gateway.loads import RequestCounts
 from quetzaldyke.parts.suspects import CrashTable
 
 MIN_INTERVAL_S: Final = 0.005
@@ -31,14 +31,14 @@
     """Requests of the sender by endpoint id, and whether it has a store."""
 
     sender: str
-    counts: dict[str, Running]
+    counts: dict[str, RequestCounts]
     # Online requests that wait for a slot at the sender, by service.
     waiting: dict[str, int]
     # Batch items that could start at the sender, were there room.
     pending: int
     # For how long the sender itself has reached the platform's store; 0 when
     # it does not.
-    store_well_s: float
+    store_up_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CrashNews:
+class CrashReport:
     """Tells of endpoints that broke while they ran requests.
 
     Both tables hold crash ids by fingerprint, as `parts/suspects.py` has
@@ -70,21 +70,21 @@
     cleared: CrashTable
 
 
-GossipMessage = LoadReport | PreemptBatch | JobEnded | CrashNews
+GossipMessage = LoadReport | PreemptBatch | JobEnded | CrashReport
 
 
 def encode(message: GossipMessage) -> bytes:
     """Return the datagram of a message."""
     match message:
-        case LoadReport(sender, counts, waiting, pending, store_well_s):
+        case LoadReport(sender, counts, waiting, pending, store_up_s):
             rows = [[key, one.online, one.batch] for key, one in counts.items()]
-            row = [rows, waiting, pending, store_well_s]
+            row = [rows, waiting, pending, store_up_s]
             return bytes(msgpack.packb(['load', sender, row]))
         case PreemptBatch(sender, endpoint_id):
             return bytes(msgpack.packb(['room', sender, endpoint_id]))
         case JobEnded(sender, job_id):
             return bytes(msgpack.packb(['ended', sender, job_id]))
-        case CrashNews(sender, crashes, cleared):
+        case CrashReport(sender, crashes, cleared):
             return bytes(msgpack.packb(['crash', sender, [crashes, cleared]]))
 
 
@@ -104,11 +104,13 @@
     if kind == 'ended':
         return JobEnded(sender, content)
     if kind == 'crash':
-        return CrashNews(sender, *content)
+        return CrashReport(sender, *content)
     if kind == 'load':
-        rows, waiting, pending, store_well_s = content
-        counts = {key: Running(online, batch) for key, online, batch in rows}
-        return LoadReport(sender, counts, waiting, pending, store_well_s)
+        rows, waiting, pending, store_up_s = content
+        counts = {
+            key: RequestCounts(online, batch) for key, online, batch in rows
+        }
+        return LoadReport(sender, counts, waiting, pending, store_up_s)
     return None
 
 
@@ -122,8 +124,8 @@
     peers: dict[str, Address] = field(default_factory=dict)
     transport: asyncio.DatagramTransport | None = None
     changed: bool = False
-    sent_s: float = 0.0
-    handle: asyncio.TimerHandle | None = None
+    last_report_s: float = 0.0
+    report_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport."""
@@ -144,21 +146,21 @@
 
     def note_change(self) -> None:
         """Send a report soon; changes in the meantime share it."""
-        if self.handle is not None or self.transport is None:
+        if self.report_timer is not None or self.transport is None:
             return
         loop = asyncio.get_running_loop()
-        due_s = max(0.0, self.sent_s + self.interval_s() - loop.time())
-        self.handle = loop.call_later(due_s, self.send_report)
+        due_s = max(0.0, self.last_report_s + self.interval_s() - loop.time())
+        self.report_timer = loop.call_later(due_s, self.send_report)
 
     def send_report(self) -> None:
         """Tell all peers the own counts."""
-        self.handle = None
-        self.sent_s = asyncio.get_running_loop().time()
+        self.report_timer = None
+        self.last_report_s = asyncio.get_running_loop().time()
         self.broadcast(self.make_report())
 
     async def heartbeat(self) -> None:
         """Report if nothing was sent lately."""
-        if asyncio.get_running_loop().time() - self.sent_s > HEARTBEAT_S:
+        if asyncio.get_running_loop().time() - self.last_report_s > HEARTBEAT_S:
             self.send_report()
 
     def broadcast(self, message: GossipMessage) -> None:
@@ -167,7 +169,7 @@
         for address in self.peers.values():
             self.send_to(address, datagram)
 
-    def tell(self, peer: str, message: GossipMessage) -> None:
+    def send(self, peer: str, message: GossipMessage) -> None:
         """Send a message to one peer."""
         address = self.peers.get(peer)
         if address is not None:
@@ -180,7 +182,7 @@
 
     def close(self) -> None:
         """Close the socket."""
-        if self.handle is not None:
-            self.handle.cancel()
+        if self.report_timer is not None:
+            self.report_timer.cancel()
         if self.transport is not None:
             self.transport.close()
--- a/src/quetzaldyke/gateway/item_run.py
+++ b/src/quetzaldyke/gateway/item_run.py
@@ -11,7 +11,7 @@
 
 from quetzaldyke.gateway.active_job import ActiveJob, ItemProgress
 from quetzaldyke.gateway.batch_schedule import RunTimes
-from quetzaldyke.gateway.dispatcher import Dispatcher, Place
+from quetzaldyke.gateway.dispatcher import Dispatcher, Reservation
 from quetzaldyke.gateway.event_stream import StreamOrderError, data_of
 from quetzaldyke.gateway.exchange import (
     Exchange,
@@ -57,13 +57,13 @@
     context: RunContext
     job: ActiveJob
     progress: ItemProgress
-    place: Place
+    reservation: Reservation
     exchange: Exchange
 
     @property
     def endpoint_id(self) -> str:
         """Return the id of the endpoint."""
-        return self.place.endpoint.endpoint_id
+        return self.reservation.endpoint.endpoint_id
 
     async def run(self) -> None:
         """Run the item as far as it gets."""
@@ -96,7 +96,7 @@
 
     async def exchange_item(self, body: bytes) -> None:
         """Send the item and take what comes back."""
-        endpoint = self.place.endpoint
+        endpoint = self.reservation.endpoint
         await self.context.client.start(
             endpoint.host,
             endpoint.port,
@@ -155,7 +155,7 @@
                 progress.outputs.extend(data_of(events))
         if progress.splitter.partial:
             raise ExchangeError(Failure.BROKEN, 'ended inside an event')
-        self.context.dispatcher.book.note_success(self.endpoint_id)
+        self.context.dispatcher.endpoints.note_success(self.endpoint_id)
         if not done_before:
             self.context.times.note(progress.events_done, clock.now() - begun_s)
         self.context.finish(self.job, progress, True)
@@ -165,7 +165,9 @@
         self.allow_silence()
         chunk = await self.exchange.read_chunk()
         dispatcher = self.context.dispatcher
-        dispatcher.book.note_bytes(self.endpoint_id, dispatcher.clock.now())
+        dispatcher.endpoints.note_bytes(
+            self.endpoint_id, dispatcher.clock.now()
+        )
         return chunk
 
     def note_error(self, head: ResponseHead, answer: bytes) -> None:
@@ -194,7 +196,7 @@
         if exc.failure is Failure.CANCELLED:
             return
         now_s = self.wait_before_retry()
-        ejected_s = self.context.dispatcher.book.note_failure(
+        ejected_s = self.context.dispatcher.endpoints.note_failure(
             self.endpoint_id,
             now_s,
         )
--- a/src/quetzaldyke/gateway/job_owner.py
+++ b/src/quetzaldyke/gateway/job_owner.py
@@ -78,7 +78,7 @@
             return
         orphans = self.ownership.orphans(
             self.now(),
-            self.health.well_since_s,
+            self.health.up_since_s,
             self.alive(),
         )
         for job_id in orphans:
--- a/src/quetzaldyke/gateway/keeper.py
+++ b/src/quetzaldyke/gateway/keeper.py
@@ -18,7 +18,7 @@
 from quetzaldyke.gateway.logs import log_event
 from quetzaldyke.gateway.model import Installation
 from quetzaldyke.gateway.store_health import StoreHealth
-from quetzaldyke.gateway.watch import Follower
+from quetzaldyke.gateway.watch import PrefixWatcher
 from quetzaldyke.parts.timers import Clock
 from quetzaldyke.parts.transactions import (
     Put,
@@ -67,7 +67,7 @@
             await anyio.sleep(RETRY_PAUSE_S)
         log_event('instance_emptied', instance=installation.instance)
 
-    follower = Follower(
+    watcher = PrefixWatcher(
         store,
         names.RETIRE_PREFIX,
         on_snapshot,
@@ -76,7 +76,7 @@
     )
     log_event('keeper_started', instance=installation.instance)
     async with anyio.create_task_group() as group:
-        group.start_soon(follower.run)
+        group.start_soon(watcher.run)
         group.start_soon(answer)
         await wait_for_stop()
         group.cancel_scope.cancel()
--- a/src/quetzaldyke/gateway/loads.py
+++ b/src/quetzaldyke/gateway/loads.py
@@ -13,11 +13,11 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-PEER_REPORT_LIFE_S: Final = 1.0
+PEER_REPORT_TTL_S: Final = 1.0
 
 
 @dataclass(slots=True)
-class Running:
+class RequestCounts:
     """Requests on one endpoint."""
 
     online: int = 0
@@ -30,14 +30,14 @@
 
 
 # Stands for endpoints without requests; never changed.
-IDLE: Final = Running()
+NO_REQUESTS: Final = RequestCounts()
 
 
 @dataclass(slots=True)
 class PeerReport:
     """The counts of one peer and when they came."""
 
-    counts: dict[str, Running]
+    counts: dict[str, RequestCounts]
     # Online requests in line by service.
     waiting: dict[str, int]
     # Batch items that could start.
@@ -49,26 +49,28 @@
 class LoadTable:
     """Counts of this entry and of its peers, by endpoint id."""
 
-    own: dict[str, Running] = field(default_factory=dict)
+    own: dict[str, RequestCounts] = field(default_factory=dict)
     peers: dict[str, PeerReport] = field(default_factory=dict)
-    others: dict[str, Running] = field(default_factory=dict)
+    peer_totals: dict[str, RequestCounts] = field(default_factory=dict)
 
-    def own_of(self, endpoint_id: str) -> Running:
+    def own_counts(self, endpoint_id: str) -> RequestCounts:
         """Return this entry's counts."""
-        known = self.own.get(endpoint_id)
-        if known is None:
-            known = self.own[endpoint_id] = Running()
-        return known
+        counts = self.own.get(endpoint_id)
+        if counts is None:
+            counts = self.own[endpoint_id] = RequestCounts()
+        return counts
 
     def online(self, endpoint_id: str) -> int:
         """Return the online requests of all entries."""
-        own = self.own.get(endpoint_id, IDLE)
-        return own.online + self.others.get(endpoint_id, IDLE).online
+        own = self.own.get(endpoint_id, NO_REQUESTS)
+        return (
+            own.online + self.peer_totals.get(endpoint_id, NO_REQUESTS).online
+        )
 
     def total(self, endpoint_id: str) -> int:
         """Return all requests of all entries."""
-        own = self.own.get(endpoint_id, IDLE)
-        return own.total + self.others.get(endpoint_id, IDLE).total
+        own = self.own.get(endpoint_id, NO_REQUESTS)
+        return own.total + self.peer_totals.get(endpoint_id, NO_REQUESTS).total
 
     def waiting_elsewhere(self, service: str) -> int:
         """Return the online requests that wait at the peers."""
@@ -89,10 +91,10 @@
         ]
         return sorted(found, reverse=True)
 
-    def take_report(
+    def apply_report(
         self,
         peer: str,
-        counts: dict[str, Running],
+        counts: dict[str, RequestCounts],
         waiting: dict[str, int],
         pending: int,
         now_s: float,
@@ -101,12 +103,12 @@
         self.peers[peer] = PeerReport(counts, waiting, pending, now_s)
         self.sum_peers()
 
-    def forget_silent(self, now_s: float) -> list[str]:
+    def remove_silent_peers(self, now_s: float) -> list[str]:
         """Drop the reports of peers that fell silent."""
         silent = [
             peer
             for peer, report in self.peers.items()
-            if now_s - report.received_s > PEER_REPORT_LIFE_S
+            if now_s - report.received_s > PEER_REPORT_TTL_S
         ]
         for peer in silent:
             del self.peers[peer]
@@ -116,15 +118,15 @@
 
     def sum_peers(self) -> None:
         """Add up the peers' counts."""
-        sums: dict[str, Running] = {}
+        sums: dict[str, RequestCounts] = {}
         for report in self.peers.values():
             for endpoint_id, running in report.counts.items():
-                known = sums.setdefault(endpoint_id, Running())
-                known.online += running.online
-                known.batch += running.batch
-        self.others = sums
+                counts = sums.setdefault(endpoint_id, RequestCounts())
+                counts.online += running.online
+                counts.batch += running.batch
+        self.peer_totals = sums
 
-    def report(self) -> dict[str, Running]:
+    def report(self) -> dict[str, RequestCounts]:
         """Return what to tell the peers, and forget idle endpoints."""
         self.own = {key: one for key, one in self.own.items() if one.total}
         return self.own
--- a/src/quetzaldyke/gateway/membership.py
+++ b/src/quetzaldyke/gateway/membership.py
@@ -99,7 +99,7 @@
     def orphans(
         self,
         now_s: float,
-        store_well_since_s: float,
+        store_up_since_s: float,
         alive: Collection[str],
     ) -> list[str]:
         """Return the jobs that this entry should take over now.
@@ -120,14 +120,14 @@
         for owner in list(self.missing_since):
             if owner in members or owner not in owners:
                 del self.missing_since[owner]
-        if now_s - store_well_since_s < OUTAGE_GRACE_S:
+        if now_s - store_up_since_s < OUTAGE_GRACE_S:
             gone = {
                 owner for owner in gone if self.is_predecessor(owners[owner])
             }
         return [
             job_id
             for job_id, view in self.book.jobs.items()
-            if view.open and self.is_mine(job_id, view, gone)
+            if view.open and self.should_take_over(job_id, view, gone)
         ]
 
     def is_gone(
@@ -152,7 +152,7 @@
         """Tell whether an owner was an earlier process of this instance."""
         return instance == self.member.instance
 
-    def is_mine(
+    def should_take_over(
         self,
         job_id: str,
         view: JobView,
--- a/src/quetzaldyke/gateway/model.py
+++ b/src/quetzaldyke/gateway/model.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BatchTerms:
+class BatchRouteOptions:
     """What a batch route promises about its jobs."""
 
     # From the first submission to the last result.
@@ -54,7 +54,7 @@
     # Longest pause between the events of a stream.
     max_gap_s: float
     services: tuple[WeightedService, ...]
-    batch: BatchTerms | None = None
+    batch: BatchRouteOptions | None = None
 
     @property
     def idempotent(self) -> bool:
--- a/src/quetzaldyke/gateway/placement.py
+++ b/src/quetzaldyke/gateway/placement.py
@@ -24,11 +24,11 @@
 # Slots by which the random tie-break blurs the load, at most. News about
 # other entries is older in a larger fleet, and all of them would choose the
 # same emptiest endpoint.
-BLUR_PER_PEER: Final = 0.05
-MIN_BLUR: Final = 0.25
-MAX_BLUR: Final = 1.5
+JITTER_PER_PEER: Final = 0.05
+MIN_JITTER: Final = 0.25
+MAX_JITTER: Final = 1.5
 # How much fuller the own failure domain may be, as a share of the slots.
-LOCAL_PREFERENCE: Final = 0.2
+REMOTE_PENALTY: Final = 0.2
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
     """The chosen endpoint, and whether batch work must yield."""
 
     endpoint: Endpoint
-    yield_batch: bool
+    preempt_batch: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +50,7 @@
     def choose(
         self,
         candidates: Sequence[Endpoint],
-        queue_allowed: int,
+        max_queued: int,
     ) -> Placement | None:
         """Return where a request goes, or None if it has to wait."""
         if not candidates:
@@ -61,32 +61,34 @@
             if self.loads.total(one.endpoint_id) < one.slots
         ]
         if free:
-            return Placement(min(free, key=self.fullness), yield_batch=False)
-        for allowed, yields in ((0, True), (queue_allowed, False)):
+            return Placement(
+                min(free, key=self.utilisation), preempt_batch=False
+            )
+        for queue_limit, preempts in ((0, True), (max_queued, False)):
             fitting = [
                 one
                 for one in candidates
-                if self.loads.online(one.endpoint_id) < one.slots + allowed
+                if self.loads.online(one.endpoint_id) < one.slots + queue_limit
             ]
             if fitting:
-                best = min(fitting, key=self.online_fullness)
-                return Placement(best, yields)
+                best = min(fitting, key=self.online_utilisation)
+                return Placement(best, preempts)
         return None
 
-    def fullness(self, endpoint: Endpoint) -> float:
+    def utilisation(self, endpoint: Endpoint) -> float:
         """Return the share of slots in use, lower in the own domain."""
         used = self.loads.total(endpoint.endpoint_id) / endpoint.slots
-        return used + self.distance(endpoint)
+        return used + self.locality_penalty(endpoint)
 
-    def online_fullness(self, endpoint: Endpoint) -> float:
+    def online_utilisation(self, endpoint: Endpoint) -> float:
         """Return the share of slots that online requests use."""
         used = self.loads.online(endpoint.endpoint_id) / endpoint.slots
-        return used + self.distance(endpoint)
+        return used + self.locality_penalty(endpoint)
 
-    def distance(self, endpoint: Endpoint) -> float:
+    def locality_penalty(self, endpoint: Endpoint) -> float:
         """Return the handicap of an endpoint, with a random tie-break."""
         remote = endpoint.failure_domain != self.failure_domain
-        handicap = LOCAL_PREFERENCE if remote else 0
-        blur = MIN_BLUR + BLUR_PER_PEER * len(self.loads.peers)
-        tie_break = self.generator.random() * min(blur, MAX_BLUR)
-        return tie_break / endpoint.slots + handicap
+        penalty = REMOTE_PENALTY if remote else 0
+        jitter = MIN_JITTER + JITTER_PER_PEER * len(self.loads.peers)
+        tie_break = self.generator.random() * min(jitter, MAX_JITTER)
+        return tie_break / endpoint.slots + penalty
--- a/src/quetzaldyke/gateway/relay.py
+++ b/src/quetzaldyke/gateway/relay.py
@@ -51,7 +51,7 @@
             Refusal('crashes_endpoints', CRASHING_RETRY_S),
         )
     while True:
-        placed = await context.dispatcher.place(
+        placed = await context.dispatcher.acquire(
             request.service,
             request.route,
             request.deadline_s,
@@ -61,15 +61,19 @@
         if isinstance(placed, Err):
             log_refusal(context, request, placed.err_value)
             return await refuse(caller, progress, placed.err_value)
-        place = placed.ok_value
+        reservation = placed.ok_value
         exchange = Exchange(names.ATTEMPT_ID, request.request_id)
-        progress.begin_send(place.endpoint.endpoint_id, place.taken_s)
+        progress.begin_send(
+            reservation.endpoint.endpoint_id, reservation.taken_s
+        )
         progress.running = context.dispatcher.loads.total(progress.endpoint_id)
-        attempt = Attempt(context, request, caller, progress, place, exchange)
+        attempt = Attempt(
+            context, request, caller, progress, reservation, exchange
+        )
         try:
             outcome = await attempt.run()
         finally:
-            context.dispatcher.release(place)
+            context.dispatcher.release(reservation)
         if outcome is not None:
             return outcome
         final = may_not_retry(context, request, progress)
--- a/src/quetzaldyke/gateway/stalls.py
+++ b/src/quetzaldyke/gateway/stalls.py
@@ -9,8 +9,8 @@
 
 from typing import Final
 
-from quetzaldyke.gateway.dispatcher import Place
-from quetzaldyke.gateway.endpoints import EndpointBook
+from quetzaldyke.gateway.dispatcher import Reservation
+from quetzaldyke.gateway.endpoints import EndpointTable
 from quetzaldyke.gateway.model import Route
 from quetzaldyke.gateway.online_request import OnlineRequest
 
@@ -25,8 +25,8 @@
 
 
 def extended_s(
-    book: EndpointBook,
-    place: Place,
+    endpoints: EndpointTable,
+    reservation: Reservation,
     silence_s: float,
     now_s: float,
 ) -> float:
@@ -34,14 +34,16 @@
 
     An endpoint that serves others meanwhile is not dark but busy.
     """
-    if book.sent_since(place.endpoint.endpoint_id, now_s - silence_s):
-        return place.taken_s + QUEUED_SILENCE_S
+    if endpoints.sent_since(
+        reservation.endpoint.endpoint_id, now_s - silence_s
+    ):
+        return reservation.taken_s + QUEUED_SILENCE_S
     return 0.0
 
 
-def first_event_s(route: Route, place: Place) -> float:
+def first_event_s(route: Route, reservation: Reservation) -> float:
     """Return how long the first event of a run may take."""
-    if place.queued:
+    if reservation.queued:
         return QUEUED_SILENCE_S
     return max(MIN_SILENCE_S, FIRST_EVENT_SHARE * route.target_s)
 
@@ -53,7 +55,7 @@
 
 def first_head_s(
     request: OnlineRequest,
-    place: Place,
+    reservation: Reservation,
     attempts: int,
     now_s: float,
 ) -> float:
@@ -63,5 +65,5 @@
     if not route.idempotent or attempts >= route.max_attempts:
         return limit_s
     if route.kind == 'stream':
-        return min(limit_s, now_s + first_event_s(route, place))
+        return min(limit_s, now_s + first_event_s(route, reservation))
     return now_s + (limit_s - now_s) * FIRST_TRY_SHARE
--- a/src/quetzaldyke/gateway/store_health.py
+++ b/src/quetzaldyke/gateway/store_health.py
@@ -22,7 +22,7 @@
     >>> health.up
     False
     >>> health.note(answered=True, now_s=3.0)
-    >>> health.up, health.well_since_s
+    >>> health.up, health.up_since_s
     (True, 3.0)
     """
 
@@ -30,9 +30,9 @@
     failures: int = 0
     last_answer_s: float = 0.0
     # Since when every call was answered.
-    well_since_s: float = 0.0
+    up_since_s: float = 0.0
     # When the store was last found to be lost.
-    lost_s: float = 0.0
+    down_at_s: float = 0.0
     on_lost: list[Callable[[], None]] = field(default_factory=list)
     on_regained: list[Callable[[], None]] = field(default_factory=list)
 
@@ -42,26 +42,26 @@
             self.note_answer(now_s)
             return
         self.failures += 1
-        self.well_since_s = now_s
+        self.up_since_s = now_s
         if self.up and self.failures >= DOWN_AFTER_FAILURES:
             self.up = False
-            self.lost_s = now_s
+            self.down_at_s = now_s
             for handler in self.on_lost:
                 handler()
 
-    def well_s(self, now_s: float) -> float:
+    def up_s(self, now_s: float) -> float:
         """Return for how long calls were answered, 0 while they are not."""
-        return now_s - self.well_since_s if self.up else 0.0
+        return now_s - self.up_since_s if self.up else 0.0
 
     def note_answer(self, now_s: float) -> None:
         """The store answered a call."""
         self.failures = 0
         if not self.last_answer_s:
-            self.well_since_s = now_s
+            self.up_since_s = now_s
         self.last_answer_s = now_s
         if self.up:
             return
         self.up = True
-        self.well_since_s = now_s
+        self.up_since_s = now_s
         for handler in self.on_regained:
             handler()
--- a/src/quetzaldyke/gateway/store_path.py
+++ b/src/quetzaldyke/gateway/store_path.py
@@ -15,22 +15,22 @@
 from quetzaldyke.gateway.store_health import StoreHealth
 
 # A peer whose last report is older carries no calls.
-PEER_LIFE_S: Final = 1.0
+PEER_REPORT_TTL_S: Final = 1.0
 # A peer that has been silent for this long has left.
-PEER_KEPT_S: Final = 30.0
+PEER_RETENTION_S: Final = 30.0
 # A peer through which a call failed is not used again for this long.
-PEER_PAUSE_S: Final = 2.0
+PEER_BACKOFF_S: Final = 2.0
 
 Address = tuple[str, int]
 
 
 @dataclass(slots=True)
-class PeerWay:
+class PeerPath:
     """A peer's report about its own way to the store."""
 
     address: Address
     # For how long it has reached the store; 0 when it does not.
-    store_well_s: float
+    store_up_s: float
     reported_s: float
     paused_until_s: float = 0.0
 
@@ -40,7 +40,7 @@
     """The ways to the store and the one in use.
 
     >>> path = StorePath(('10.0.0.1', 80))
-    >>> path.note_peer('p', ('10.0.0.2', 70), store_well_s=9.0, now_s=1.0)
+    >>> path.note_peer('p', ('10.0.0.2', 70), store_up_s=9.0, now_s=1.0)
     >>> path.choose(1.0)
     ('10.0.0.1', 80)
     >>> for _ in range(2):
@@ -54,7 +54,7 @@
 
     store: Address
     direct: StoreHealth = field(default_factory=StoreHealth)
-    peers: dict[str, PeerWay] = field(default_factory=dict)
+    peers: dict[str, PeerPath] = field(default_factory=dict)
     # Told when the way in use changes.
     on_change: Callable[[Address], None] = lambda address: None
     in_use: Address | None = None
@@ -64,52 +64,56 @@
         peer: str,
         address: Address,
         *,
-        store_well_s: float,
+        store_up_s: float,
         now_s: float,
     ) -> None:
         """Take over a peer's report."""
         known = self.peers.get(peer)
         if known is None:
-            self.peers[peer] = PeerWay(address, store_well_s, now_s)
+            self.peers[peer] = PeerPath(address, store_up_s, now_s)
             return
         known.address = address
-        known.store_well_s = store_well_s
+        known.store_up_s = store_up_s
         known.reported_s = now_s
 
-    def forget_silent(self, now_s: float) -> None:
+    def remove_silent_peers(self, now_s: float) -> None:
         """Drop the peers that have left."""
-        for peer, way in list(self.peers.items()):
-            if now_s - way.reported_s > PEER_KEPT_S:
+        for peer, peer_path in list(self.peers.items()):
+            if now_s - peer_path.reported_s > PEER_RETENTION_S:
                 del self.peers[peer]
 
     def choose(self, now_s: float) -> Address:
         """Return the address that the next call goes to."""
-        address = self.best(now_s)
+        address = self.best_address(now_s)
         if address != self.in_use:
             self.in_use = address
             self.on_change(address)
         return address
 
-    def best(self, now_s: float) -> Address:
+    def best_address(self, now_s: float) -> Address:
         """Return the direct way while it works, else that of a peer."""
         if self.direct.up:
             return self.store
-        for way in self.peers.values():
-            fresh = now_s - way.reported_s <= PEER_LIFE_S
-            if way.store_well_s and fresh and way.paused_until_s <= now_s:
-                return way.address
+        for peer_path in self.peers.values():
+            fresh = now_s - peer_path.reported_s <= PEER_REPORT_TTL_S
+            if (
+                peer_path.store_up_s
+                and fresh
+                and peer_path.paused_until_s <= now_s
+            ):
+                return peer_path.address
         return self.store
 
-    def peer_was_well_since(self, since_s: float, now_s: float) -> bool:
+    def any_peer_up_since(self, since_s: float, now_s: float) -> bool:
         """Tell whether a peer has reached the store all the time since then.
 
         If so, the store itself was not away.
         """
         return any(
-            now_s - way.reported_s <= PEER_LIFE_S
-            and way.reported_s - way.store_well_s <= since_s
-            for way in self.peers.values()
-            if way.store_well_s
+            now_s - peer_path.reported_s <= PEER_REPORT_TTL_S
+            and peer_path.reported_s - peer_path.store_up_s <= since_s
+            for peer_path in self.peers.values()
+            if peer_path.store_up_s
         )
 
     def note(self, address: Address, *, answered: bool, now_s: float) -> None:
@@ -119,6 +123,6 @@
             return
         if answered:
             return
-        for way in self.peers.values():
-            if way.address == address:
-                way.paused_until_s = now_s + PEER_PAUSE_S
+        for peer_path in self.peers.values():
+            if peer_path.address == address:
+                peer_path.paused_until_s = now_s + PEER_BACKOFF_S
--- a/src/quetzaldyke/gateway/store_tunnel.py
+++ b/src/quetzaldyke/gateway/store_tunnel.py
@@ -26,21 +26,21 @@
     task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
     """Accept connections of peers until cancelled."""
-    places = anyio.CapacityLimiter(MAX_TUNNELS)
+    limiter = anyio.CapacityLimiter(MAX_TUNNELS)
 
-    async def carry(peer: ByteStream) -> None:
-        async with peer, places:
-            await carry_connection(peer, store)
+    async def handle(peer: ByteStream) -> None:
+        async with peer, limiter:
+            await relay_connection(peer, store)
 
     listener = await anyio.create_tcp_listener(
         local_host=host,
         local_port=port,
     )
     task_status.started()
-    await listener.serve(carry)
+    await listener.serve(handle)
 
 
-async def carry_connection(peer: ByteStream, store: tuple[str, int]) -> None:
+async def relay_connection(peer: ByteStream, store: tuple[str, int]) -> None:
     """Carry one connection until either side ends it."""
     try:
         with anyio.fail_after(CONNECT_TIMEOUT_S):
--- a/src/quetzaldyke/gateway/watch.py
+++ b/src/quetzaldyke/gateway/watch.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Follower:
+class PrefixWatcher:
     """One followed prefix."""
 
     store: TransactionalStore
@@ -36,28 +36,28 @@
     on_changes: OnChanges
     wait_s: float = WATCH_WAIT_S
     # Time to gather changes before the next call.
-    pause_s: Callable[[], float] = float
+    poll_delay_s: Callable[[], float] = float
     # Everything up to this revision was seen; None before the first list.
     revision: int | None = None
     failures: int = 0
     # Told after each call that succeeded.
-    on_step: Callable[[], None] = lambda: None
+    on_success: Callable[[], None] = lambda: None
 
     async def run(self) -> None:
         """Follow until cancelled."""
         while True:
-            if await self.step():
+            if await self.poll():
                 self.failures = 0
-                self.on_step()
-                await anyio.sleep(self.pause_s())
+                self.on_success()
+                await anyio.sleep(self.poll_delay_s())
                 continue
             self.failures += 1
             await anyio.sleep(pause_s(RETRY, self.failures, random.uniform))
 
-    async def step(self) -> bool:
+    async def poll(self) -> bool:
         """Make one call; tell whether it succeeded."""
         if self.revision is None:
-            return await self.take_list()
+            return await self.load_snapshot()
         answer = await self.store.watch(
             self.prefix,
             self.revision,
@@ -75,7 +75,7 @@
             self.on_changes(batch.changes, self.revision)
         return True
 
-    async def take_list(self) -> bool:
+    async def load_snapshot(self) -> bool:
         """Read all keys; changes are followed from there."""
         answer = await self.store.list_prefix(self.prefix)
         if isinstance(answer, Err):
--- a/src/quetzaldyke/platform/records.py
+++ b/src/quetzaldyke/platform/records.py
@@ -13,7 +13,7 @@
 from result import Err, Ok, Result
 
 from quetzaldyke.gateway.model import (
-    BatchTerms,
+    BatchRouteOptions,
     CallerLimits,
     Configuration,
     Endpoint,
@@ -144,11 +144,11 @@
     )
 
 
-def decode_batch(row: RouteRow) -> BatchTerms | None:
+def decode_batch(row: RouteRow) -> BatchRouteOptions | None:
     """Translate the fields of a batch route."""
     if row.kind != 'batch':
         return None
-    return BatchTerms(
+    return BatchRouteOptions(
         completion_target_s=row.completion_target_ms / MS_IN_S,
         max_wait_s=row.max_wait_s,
         max_waiting_tokens=row.cap,
--- a/tests/gateway_kit.py
+++ b/tests/gateway_kit.py
@@ -9,13 +9,13 @@
 from result import Err, Ok, Result
 
 from quetzaldyke.gateway.dispatcher import Dispatcher
-from quetzaldyke.gateway.endpoints import EndpointBook
+from quetzaldyke.gateway.endpoints import EndpointTable
 from quetzaldyke.gateway.job_book import JobBook
 from quetzaldyke.gateway.job_records import FLEET_PREFIX
 from quetzaldyke.gateway.job_store import JobStore
-from quetzaldyke.gateway.loads import LoadTable, Running
+from quetzaldyke.gateway.loads import LoadTable, RequestCounts
 from quetzaldyke.gateway.model import (
-    BatchTerms,
+    BatchRouteOptions,
     Endpoint,
     EndpointState,
     Route,
@@ -76,7 +76,7 @@
         resumable=resumable,
         max_gap_s=0.25,
         services=(WeightedService('lm', 1),),
-        batch=BatchTerms(18.0, 60.0, cap) if kind == 'batch' else None,
+        batch=BatchRouteOptions(18.0, 60.0, cap) if kind == 'batch' else None,
     )
 
 
@@ -95,10 +95,10 @@
     """Return a dispatcher over the given endpoints."""
     generator = random.Random(1)
     loads = LoadTable()
-    book = EndpointBook()
-    book.replace_all(endpoints, time.now_s)
+    table = EndpointTable()
+    table.replace_all(endpoints, time.now_s)
     return Dispatcher(
-        book,
+        table,
         loads,
         PlacementPolicy('a', generator, loads),
         Clock(time.read),
@@ -109,7 +109,7 @@
 
 def use(loads: LoadTable, endpoint_id: str, online: int, batch: int) -> None:
     """Set this entry's counts of an endpoint."""
-    loads.own[endpoint_id] = Running(online, batch)
+    loads.own[endpoint_id] = RequestCounts(online, batch)
 
 
 @dataclass(slots=True)
--- a/tests/test_gateway_attempts.py
+++ b/tests/test_gateway_attempts.py
@@ -74,8 +74,8 @@
         """Return an attempt that has not been sent."""
         time = FakeTime()
         dispatcher = make_dispatcher(time, make_endpoint('e1'))
-        place = dispatcher.try_place('lm')
-        assert place is not None
+        reservation = dispatcher.try_acquire('lm')
+        assert reservation is not None
         context = RelayContext(
             dispatcher,
             HttpClient(),
@@ -88,15 +88,15 @@
             make_request(route, time.now_s),
             FakeCaller(),
             Progress(),
-            place,
+            reservation,
             Exchange(),
         )
         return cls(time, dispatcher, attempt)
 
     def ejected(self) -> bool:
         """Tell whether the endpoint was ejected."""
-        belief = self.dispatcher.book.beliefs['e1']
-        return belief.ejected_until_s > self.time.now_s
+        tracked = self.dispatcher.endpoints.by_id['e1']
+        return tracked.ejected_until_s > self.time.now_s
 
 
 def make_request(route: Route, now_s: float) -> OnlineRequest:
@@ -135,7 +135,7 @@
     """Guards against a burst that ejects every full engine."""
     bed = Bed.of(make_route())
     bed.time.now_s += 0.2
-    bed.dispatcher.book.note_bytes('e1', bed.time.now_s - 0.05)
+    bed.dispatcher.endpoints.note_bytes('e1', bed.time.now_s - 0.05)
     bed.attempt.note_failure(ExchangeError(Failure.STALLED))
     assert not bed.ejected()
 
@@ -143,7 +143,7 @@
 def test_one_lost_answer_does_not_eject_a_serving_endpoint() -> None:
     """Guards against single resets that take whole engines out of use."""
     bed = Bed.of(make_route())
-    bed.dispatcher.book.note_bytes('e1', bed.time.now_s - 0.05)
+    bed.dispatcher.endpoints.note_bytes('e1', bed.time.now_s - 0.05)
     bed.attempt.note_failure(ExchangeError(Failure.BROKEN))
     assert not bed.ejected()
 
@@ -152,7 +152,7 @@
     """Guards against endpoints that fail a large share of their requests."""
     bed = Bed.of(make_route())
     for _ in range(5):
-        bed.dispatcher.book.note_bytes('e1', bed.time.now_s)
+        bed.dispatcher.endpoints.note_bytes('e1', bed.time.now_s)
         bed.attempt.note_failure(ExchangeError(Failure.BROKEN))
     assert bed.ejected()
 
@@ -160,7 +160,7 @@
 def test_dark_endpoint_is_eject() -> None:
     """Guards against a dark engine that keeps getting streams."""
     bed = Bed.of(make_route())
-    bed.dispatcher.book.note_bytes('e1', bed.time.now_s - 1.0)
+    bed.dispatcher.endpoints.note_bytes('e1', bed.time.now_s - 1.0)
     bed.time.now_s += 0.2
     bed.attempt.note_failure(ExchangeError(Failure.STALLED))
     assert bed.ejected()
@@ -169,13 +169,13 @@
 def test_wait_at_a_busy_endpoint_is_extended_once() -> None:
     """Guards against streams that lose their place in a busy engine."""
     bed = Bed.of(make_route())
-    place = bed.attempt.place
+    reservation = bed.attempt.reservation
     now_s = bed.time.now_s + 0.2
-    book = bed.dispatcher.book
-    assert extended_s(book, place, 0.15, now_s) == 0.0
-    book.note_bytes('e1', now_s - 0.1)
-    until_s = extended_s(book, place, 0.15, now_s)
-    assert until_s == place.taken_s + QUEUED_SILENCE_S
+    endpoints = bed.dispatcher.endpoints
+    assert extended_s(endpoints, reservation, 0.15, now_s) == 0.0
+    endpoints.note_bytes('e1', now_s - 0.1)
+    until_s = extended_s(endpoints, reservation, 0.15, now_s)
+    assert until_s == reservation.taken_s + QUEUED_SILENCE_S
     exchange = Exchange(expires_at_s=now_s, extend=lambda now: until_s)
     assert not exchange.check_time(now_s + 0.01)
     assert exchange.check_time(until_s + 0.01)
@@ -240,7 +240,7 @@
         bed.attempt.request,
         deadline_s=bed.time.now_s - 1,
     )
-    bed.dispatcher.release(bed.attempt.place)
+    bed.dispatcher.release(bed.attempt.reservation)
     caller = FakeCaller()
     with anyio.fail_after(2):
         outcome = await relay(
--- a/tests/test_gateway_batch.py
+++ b/tests/test_gateway_batch.py
@@ -23,7 +23,7 @@
     JobState,
     Member,
 )
-from quetzaldyke.gateway.loads import LoadTable, Running
+from quetzaldyke.gateway.loads import LoadTable, RequestCounts
 from quetzaldyke.gateway.membership import (
     OUTAGE_GRACE_S,
     OWNER_GRACE_S,
@@ -81,9 +81,13 @@
     """Guards against all entries stopping runs for one online request."""
     policy = make_policy()
     use(policy.loads, 'e1', online=0, batch=2)
-    policy.loads.take_report('p', {'e1': Running(2, 1)}, {}, 0, now_s=1.0)
+    policy.loads.apply_report(
+        'p', {'e1': RequestCounts(2, 1)}, {}, 0, now_s=1.0
+    )
     assert policy.surplus('e1', slots=4) == 1
-    policy.loads.take_report('p', {'e1': Running(0, 3)}, {}, 0, now_s=1.0)
+    policy.loads.apply_report(
+        'p', {'e1': RequestCounts(0, 3)}, {}, 0, now_s=1.0
+    )
     assert policy.surplus('e1', slots=4) == 0
 
 
@@ -171,11 +175,11 @@
 def test_no_takeover_right_after_an_outage() -> None:
     """Guards against a storm of takeovers when leases lapsed in an outage."""
     ownership = Ownership.of(book_with(OTHER, OWN), OWN)
-    well_since_s = 10.0
-    ownership.orphans(10.1, well_since_s, ())
-    early_s = well_since_s + OUTAGE_GRACE_S - 0.1
-    assert not ownership.orphans(early_s, well_since_s, ())
-    assert ownership.orphans(early_s + 0.2, well_since_s, ()) == ['j']
+    up_since_s = 10.0
+    ownership.orphans(10.1, up_since_s, ())
+    early_s = up_since_s + OUTAGE_GRACE_S - 0.1
+    assert not ownership.orphans(early_s, up_since_s, ())
+    assert ownership.orphans(early_s + 0.2, up_since_s, ()) == ['j']
 
 
 def test_job_of_the_own_predecessor_is_taken_at_once() -> None:
@@ -193,7 +197,9 @@
         if Ownership.of(
             book_with(Member('x', 'i-x', '', 0), OWN, OTHER),
             member,
-        ).is_mine('j', book_with(Member('x', 'i-x', '', 0)).view('j'), {'x'})
+        ).should_take_over(
+            'j', book_with(Member('x', 'i-x', '', 0)).view('j'), {'x'}
+        )
     ]
     assert len(successors) == 1
 
--- a/tests/test_gateway_process_parts.py
+++ b/tests/test_gateway_process_parts.py
@@ -16,14 +16,14 @@
 from gateway_fleet import configuration
 from gateway_kit import FakeStore
 from quetzaldyke.gateway.configuration_feed import (
-    CONFIG_TRUST_S,
+    CONFIG_MAX_AGE_S,
     ConfigurationFeed,
 )
 from quetzaldyke.gateway.endpoint_feed import EndpointFeed
-from quetzaldyke.gateway.endpoints import EndpointBook
+from quetzaldyke.gateway.endpoints import EndpointTable
 from quetzaldyke.gateway.gossip import (
     GossipMessage,
-    CrashNews,
+    CrashReport,
     JobEnded,
     LoadReport,
     PreemptBatch,
@@ -31,10 +31,10 @@
     encode,
 )
 from quetzaldyke.gateway.keeper import run_keeper
-from quetzaldyke.gateway.loads import Running
+from quetzaldyke.gateway.loads import RequestCounts
 from quetzaldyke.gateway.logs import LineBudget, LineWriter
 from quetzaldyke.gateway.model import Bounds, Configuration, Installation
-from quetzaldyke.gateway.watch import Follower
+from quetzaldyke.gateway.watch import PrefixWatcher
 from quetzaldyke.parts.kv import KvError, Record
 from quetzaldyke.parts.transactions import Snapshot, WatchBatch, WatchedChange
 from quetzaldyke.standins.platform_store import (
@@ -114,7 +114,7 @@
 
 COUNTS = st.dictionaries(
     st.text(max_size=5),
-    st.builds(Running, st.integers(0, 99), st.integers(0, 99)),
+    st.builds(RequestCounts, st.integers(0, 99), st.integers(0, 99)),
     max_size=4,
 )
 CRASHES = st.dictionaries(
@@ -133,7 +133,7 @@
     ),
     st.builds(PreemptBatch, st.text(max_size=5), st.text(max_size=5)),
     st.builds(JobEnded, st.text(max_size=5), st.text(max_size=5)),
-    st.builds(CrashNews, st.text(max_size=5), CRASHES, CRASHES),
+    st.builds(CrashReport, st.text(max_size=5), CRASHES, CRASHES),
 )
 
 
@@ -173,11 +173,11 @@
     lists: list[Snapshot] = []
     store = ScriptedStore(watches=[Err(KvError('compacted'))])
     store.state.put('p/a', b'1', 0)
-    follower = Follower(store, 'p/', lists.append, lambda *_: None)
-    await follower.step()
+    watcher = PrefixWatcher(store, 'p/', lists.append, lambda *_: None)
+    await watcher.poll()
     store.state.put('p/b', b'2', 0)
-    await follower.step()
-    await follower.step()
+    await watcher.poll()
+    await watcher.poll()
     assert [len(one.records) for one in lists] == [1, 2]
 
 
@@ -193,7 +193,7 @@
             Ok(WatchBatch([], 9)),
         ],
     )
-    follower = Follower(
+    watcher = PrefixWatcher(
         store,
         'p/',
         lambda _: None,
@@ -201,9 +201,9 @@
         revision=3,
     )
     for _ in range(4):
-        await follower.step()
+        await watcher.poll()
     # A stale answer does not move the revision back.
-    assert (store.asked, seen, follower.revision) == ([3, 3, 7, 7], [7], 9)
+    assert (store.asked, seen, watcher.revision) == ([3, 3, 7, 7], [7], 9)
 
 
 def record_of(version: int) -> Record:
@@ -224,14 +224,14 @@
     assert feed.is_engine('lm')
     assert not feed.is_engine('app')
     feed.confirm()
-    now[0] = CONFIG_TRUST_S
+    now[0] = CONFIG_MAX_AGE_S
     assert not feed.is_current()
 
 
 def test_unreadable_entry_hides_no_other() -> None:
     """Guards against one broken record that empties the list."""
-    book = EndpointBook()
-    feed = EndpointFeed(book, lambda: 0.0, lambda: None)
+    table = EndpointTable()
+    feed = EndpointFeed(table, lambda: 0.0, lambda: None)
     good = orjson.dumps(
         {
             'service': 'lm',
@@ -246,9 +246,9 @@
         Record('servers/good', good, 2),
     ]
     feed.on_snapshot(Snapshot(records, 2))
-    assert [one.endpoint_id for one in book.usable('lm', 0.0)] == ['good']
+    assert [one.endpoint_id for one in table.usable('lm', 0.0)] == ['good']
     feed.on_changes([WatchedChange('servers/good', 3, None)], 3)
-    assert not book.usable('lm', 0.0)
+    assert not table.usable('lm', 0.0)
 
 
 async def test_keeper_answers_that_its_instance_is_empty() -> None:
--- a/tests/test_gateway_routing.py
+++ b/tests/test_gateway_routing.py
@@ -17,8 +17,8 @@
     make_route,
     use,
 )
-from quetzaldyke.gateway.endpoints import LAPSE_GRACE_S, EndpointBook
-from quetzaldyke.gateway.loads import LoadTable, Running
+from quetzaldyke.gateway.endpoints import LAPSE_GRACE_S, EndpointTable
+from quetzaldyke.gateway.loads import LoadTable, RequestCounts
 from quetzaldyke.gateway.model import (
     CallerLimits,
     Configuration,
@@ -26,8 +26,8 @@
 )
 from quetzaldyke.gateway.placement import PlacementPolicy
 from quetzaldyke.gateway.route_table import RouteTable, choose_service
-from quetzaldyke.gateway.store_path import PEER_KEPT_S, StorePath
-from quetzaldyke.gateway.waiting_line import Waiter
+from quetzaldyke.gateway.store_path import PEER_RETENTION_S, StorePath
+from quetzaldyke.gateway.wait_queue import QueuedRequest
 
 
 def table_of(*prefixes: str) -> RouteTable:
@@ -74,51 +74,51 @@
 
 def test_no_new_work_for_a_draining_endpoint() -> None:
     """Guards against requests that reach an endpoint after it drains."""
-    book = EndpointBook()
-    book.put(make_endpoint('e1'))
-    book.put(make_endpoint('e1', state='draining'))
-    assert not book.usable('lm', 0.0)
+    table = EndpointTable()
+    table.put(make_endpoint('e1'))
+    table.put(make_endpoint('e1', state='draining'))
+    assert not table.usable('lm', 0.0)
 
 
 def test_entry_that_lapsed_in_an_outage_stays_usable() -> None:
     """Guards against losing every endpoint when the list itself was away."""
-    book = EndpointBook()
-    book.put(make_endpoint('e1'))
-    book.outage_began()
-    assert not book.remove('e1', 1.0)
-    book.outage_ended(2.0)
-    assert not book.drop_lapsed(2.0 + LAPSE_GRACE_S / 2)
-    assert book.usable('lm', 2.0)
+    table = EndpointTable()
+    table.put(make_endpoint('e1'))
+    table.outage_began()
+    assert not table.remove('e1', 1.0)
+    table.outage_ended(2.0)
+    assert not table.drop_lapsed(2.0 + LAPSE_GRACE_S / 2)
+    assert table.usable('lm', 2.0)
 
 
 def test_entry_that_stays_away_after_an_outage_is_gone() -> None:
     """Guards against endpoints that died in an outage and get work for ever."""
-    book = EndpointBook()
-    book.put(make_endpoint('e1'))
-    book.outage_began()
-    book.remove('e1', 1.0)
-    book.outage_ended(2.0)
-    assert book.drop_lapsed(2.0 + LAPSE_GRACE_S) == ['e1']
-    assert not book.usable('lm', 5.0)
+    table = EndpointTable()
+    table.put(make_endpoint('e1'))
+    table.outage_began()
+    table.remove('e1', 1.0)
+    table.outage_ended(2.0)
+    assert table.drop_lapsed(2.0 + LAPSE_GRACE_S) == ['e1']
+    assert not table.usable('lm', 5.0)
 
 
 def test_lapsed_entry_is_not_used_past_its_time() -> None:
     """Guards against work for a gone endpoint until the next clean-up."""
-    book = EndpointBook()
-    book.put(make_endpoint('e1'))
-    book.outage_began()
-    book.remove('e1', 1.0)
-    book.outage_ended(2.0)
-    assert book.usable('lm', 2.0 + LAPSE_GRACE_S - 0.01)
-    assert not book.usable('lm', 2.0 + LAPSE_GRACE_S)
+    table = EndpointTable()
+    table.put(make_endpoint('e1'))
+    table.outage_began()
+    table.remove('e1', 1.0)
+    table.outage_ended(2.0)
+    assert table.usable('lm', 2.0 + LAPSE_GRACE_S - 0.01)
+    assert not table.usable('lm', 2.0 + LAPSE_GRACE_S)
 
 
 def test_peers_that_left_are_forgotten() -> None:
     """Guards against a table that grows with every restart of an entry."""
     path = StorePath(('s', 1))
-    path.note_peer('old', ('p', 1), store_well_s=1.0, now_s=0.0)
-    path.note_peer('new', ('p', 2), store_well_s=1.0, now_s=PEER_KEPT_S)
-    path.forget_silent(PEER_KEPT_S + 1.0)
+    path.note_peer('old', ('p', 1), store_up_s=1.0, now_s=0.0)
+    path.note_peer('new', ('p', 2), store_up_s=1.0, now_s=PEER_RETENTION_S)
+    path.remove_silent_peers(PEER_RETENTION_S + 1.0)
     assert list(path.peers) == ['new']
 
 
@@ -129,79 +129,81 @@
     calls time out, and kept sending to an endpoint that had left.
     """
     path = StorePath(('s', 1))
-    path.note_peer('p', ('p', 2), store_well_s=60.0, now_s=9.9)
-    assert path.peer_was_well_since(since_s=9.0, now_s=10.0)
-    book = EndpointBook()
-    book.put(make_endpoint('e1'))
-    book.outage_began()
-    book.outage_was_local()
-    assert book.remove('e1', 10.1)
+    path.note_peer('p', ('p', 2), store_up_s=60.0, now_s=9.9)
+    assert path.any_peer_up_since(since_s=9.0, now_s=10.0)
+    table = EndpointTable()
+    table.put(make_endpoint('e1'))
+    table.outage_began()
+    table.outage_was_local()
+    assert table.remove('e1', 10.1)
 
 
 def test_outage_of_all_entries_is_one_of_the_store() -> None:
     """Guards against losing all endpoints in a real outage."""
     path = StorePath(('s', 1))
-    path.note_peer('p', ('p', 2), store_well_s=0.3, now_s=9.9)
-    assert not path.peer_was_well_since(since_s=9.0, now_s=10.0)
-    path.note_peer('p', ('p', 2), store_well_s=60.0, now_s=5.0)
-    assert not path.peer_was_well_since(since_s=9.0, now_s=10.0)
+    path.note_peer('p', ('p', 2), store_up_s=0.3, now_s=9.9)
+    assert not path.any_peer_up_since(since_s=9.0, now_s=10.0)
+    path.note_peer('p', ('p', 2), store_up_s=60.0, now_s=5.0)
+    assert not path.any_peer_up_since(since_s=9.0, now_s=10.0)
 
 
 def test_removal_in_calm_times_counts_at_once() -> None:
     """Guards against work for an endpoint that left without draining."""
-    book = EndpointBook()
-    book.put(make_endpoint('e1'))
-    assert book.remove('e1', 50.0)
+    table = EndpointTable()
+    table.put(make_endpoint('e1'))
+    assert table.remove('e1', 50.0)
 
 
 def test_failed_endpoint_is_eject_for_longer_each_time() -> None:
     """Guards against a dark endpoint that keeps getting its full share."""
-    book = EndpointBook()
-    book.put(make_endpoint('e1'))
-    book.put(make_endpoint('e2'))
-    pauses = [book.note_failure('e1', 10.0 * number) for number in range(3)]
+    table = EndpointTable()
+    table.put(make_endpoint('e1'))
+    table.put(make_endpoint('e2'))
+    pauses = [table.note_failure('e1', 10.0 * number) for number in range(3)]
     assert pauses == sorted(pauses)
     assert pauses[0] < pauses[2]
-    assert [one.endpoint_id for one in book.usable('lm', 20.1)] == ['e2']
+    assert [one.endpoint_id for one in table.usable('lm', 20.1)] == ['e2']
 
 
 def test_all_eject_are_used_all_the_same() -> None:
     """Guards against this entry's own cut stopping a whole service."""
-    book = EndpointBook()
-    book.put(make_endpoint('e1'))
-    book.note_failure('e1', 1.0)
-    assert book.usable('lm', 1.1)
+    table = EndpointTable()
+    table.put(make_endpoint('e1'))
+    table.note_failure('e1', 1.0)
+    assert table.usable('lm', 1.1)
 
 
 def test_request_that_runs_once_avoids_unproved_endpoints() -> None:
     """Guards against unrepeatable requests that probe a dark endpoint."""
-    book = EndpointBook()
-    book.put(make_endpoint('e1'))
-    book.put(make_endpoint('e2'))
-    book.note_failure('e1', 1.0)
-    careful = book.usable('lm', 60.0, careful=True)
-    assert [one.endpoint_id for one in careful] == ['e2']
-    book.note_success('e1')
-    assert len(book.usable('lm', 60.0, careful=True)) == 2
+    table = EndpointTable()
+    table.put(make_endpoint('e1'))
+    table.put(make_endpoint('e2'))
+    table.note_failure('e1', 1.0)
+    avoid_failing = table.usable('lm', 60.0, avoid_failing=True)
+    assert [one.endpoint_id for one in avoid_failing] == ['e2']
+    table.note_success('e1')
+    assert len(table.usable('lm', 60.0, avoid_failing=True)) == 2
 
 
 def test_endpoint_back_under_its_id_starts_anew() -> None:
     """Guards against failures of an earlier life that stick to an id."""
-    book = EndpointBook()
-    book.put(make_endpoint('e1', started_ms=1))
-    book.put(make_endpoint('e2'))
-    book.note_failure('e1', 1.0)
-    book.put(make_endpoint('e1', started_ms=2))
-    assert len(book.usable('lm', 1.1)) == 2
+    table = EndpointTable()
+    table.put(make_endpoint('e1', started_ms=1))
+    table.put(make_endpoint('e2'))
+    table.note_failure('e1', 1.0)
+    table.put(make_endpoint('e1', started_ms=2))
+    assert len(table.usable('lm', 1.1)) == 2
 
 
 def test_silent_peers_are_forgotten() -> None:
     """Guards against slots that a dead entry seems to use for ever."""
     loads = LoadTable()
-    loads.take_report('p', {'e1': Running(2, 1)}, {'lm': 3}, 4, now_s=1.0)
+    loads.apply_report(
+        'p', {'e1': RequestCounts(2, 1)}, {'lm': 3}, 4, now_s=1.0
+    )
     assert (loads.total('e1'), loads.online('e1')) == (3, 2)
     assert (loads.waiting_elsewhere('lm'), loads.pending_elsewhere()) == (3, 4)
-    assert loads.forget_silent(2.5) == ['p']
+    assert loads.remove_silent_peers(2.5) == ['p']
     assert loads.total('e1') == 0
 
 
@@ -238,7 +240,7 @@
     endpoints = [make_endpoint('e1'), make_endpoint('e2')]
     chosen = policy_of(loads).choose(endpoints, 1)
     assert chosen is not None
-    assert chosen.yield_batch
+    assert chosen.preempt_batch
     assert chosen.endpoint.endpoint_id == 'e1'
 
 
@@ -259,7 +261,7 @@
 )
 def test_choice_never_exceeds_what_is_allowed(
     used: list[tuple[int, int]],
-    queue_allowed: int,
+    max_queued: int,
 ) -> None:
     """Guards against a choice that overfills while others are free."""
     loads = LoadTable()
@@ -267,15 +269,15 @@
     for number, (online, batch) in enumerate(used):
         use(loads, f'e{number}', online, batch)
         endpoints.append(make_endpoint(f'e{number}'))
-    chosen = policy_of(loads).choose(endpoints, queue_allowed)
+    chosen = policy_of(loads).choose(endpoints, max_queued)
     has_free = any(sum(row) < 4 for row in used)
     if chosen is None:
         # Nothing may be left that could have taken it.
-        assert all(row[0] >= 4 + queue_allowed for row in used)
+        assert all(row[0] >= 4 + max_queued for row in used)
         assert not has_free
         return
-    taken = loads.own_of(chosen.endpoint.endpoint_id)
-    assert taken.online < 4 + queue_allowed
+    taken = loads.own_counts(chosen.endpoint.endpoint_id)
+    assert taken.online < 4 + max_queued
     assert has_free == (taken.total < 4)
 
 
@@ -283,18 +285,22 @@
     """Guards against requests that wait for a timer while slots are free."""
     time = FakeTime()
     dispatcher = make_dispatcher(time, make_endpoint('e1'))
-    dispatcher.loads.take_report('p', {'e1': Running(9, 0)}, {}, 0, time.now_s)
+    dispatcher.loads.apply_report(
+        'p', {'e1': RequestCounts(9, 0)}, {}, 0, time.now_s
+    )
     started: list[str] = []
 
     def try_start() -> bool:
-        if dispatcher.try_place('lm') is None:
+        if dispatcher.try_acquire('lm') is None:
             return False
         started.append('r')
         return True
 
-    waiter = Waiter(0, time.now_s + 1, time.now_s + 1, try_start, lambda: None)
-    dispatcher.line('lm').add(waiter)
-    dispatcher.take_report('p', {'e1': Running(1, 0)}, {}, 0)
+    request = QueuedRequest(
+        0, time.now_s + 1, time.now_s + 1, try_start, lambda: None
+    )
+    dispatcher.queue('lm').add(request)
+    dispatcher.apply_report('p', {'e1': RequestCounts(1, 0)}, {}, 0)
     assert started == ['r']
 
 
@@ -302,8 +308,8 @@
     """Guards against slots that are given back twice and lose count."""
     time = FakeTime()
     dispatcher = make_dispatcher(time, make_endpoint('e1'))
-    place = dispatcher.try_place('lm')
-    assert place is not None
-    dispatcher.release(place)
-    dispatcher.release(place)
+    reservation = dispatcher.try_acquire('lm')
+    assert reservation is not None
+    dispatcher.release(reservation)
+    dispatcher.release(reservation)
     assert dispatcher.loads.total('e1') == 0
--- a/tests/test_gateway_waiting.py
+++ b/tests/test_gateway_waiting.py
@@ -15,7 +15,7 @@
     make_route,
     use,
 )
-from quetzaldyke.gateway.waiting_line import Waiter, WaitingLine, may_wait
+from quetzaldyke.gateway.wait_queue import QueuedRequest, WaitQueue, may_wait
 
 pytestmark = pytest.mark.anyio
 
@@ -26,15 +26,15 @@
     return 'asyncio'
 
 
-def make_waiter(
+def make_queued_request(
     started: list[str],
     name: str,
     *,
     priority: int = 0,
-    on_time_until_s: float = 10.0,
-    give_up_s: float = 20.0,
+    latest_on_time_start_s: float = 10.0,
+    latest_start_s: float = 20.0,
     room: int = 100,
-) -> Waiter:
+) -> QueuedRequest:
     """Return a waiter that notes its start while there is room."""
 
     def try_start() -> bool:
@@ -43,10 +43,10 @@
         started.append(name)
         return True
 
-    return Waiter(
+    return QueuedRequest(
         priority,
-        on_time_until_s,
-        give_up_s,
+        latest_on_time_start_s,
+        latest_start_s,
         try_start,
         lambda: started.append(f'refused {name}'),
     )
@@ -55,49 +55,51 @@
 def test_urgent_first_then_order_of_arrival() -> None:
     """Guards against a less urgent request that is served first."""
     started: list[str] = []
-    line = WaitingLine()
-    line.add(make_waiter(started, 'low', priority=2))
-    line.add(make_waiter(started, 'first'))
-    line.add(make_waiter(started, 'second'))
-    line.serve(1.0)
+    queue = WaitQueue()
+    queue.add(make_queued_request(started, 'low', priority=2))
+    queue.add(make_queued_request(started, 'first'))
+    queue.add(make_queued_request(started, 'second'))
+    queue.serve(1.0)
     assert started == ['first', 'second', 'low']
 
 
 def test_those_that_can_be_on_time_go_first() -> None:
     """Guards against a burst that makes every request late."""
     started: list[str] = []
-    line = WaitingLine()
-    line.add(make_waiter(started, 'late', on_time_until_s=0.5))
-    line.add(make_waiter(started, 'timely', on_time_until_s=5.0))
-    line.serve(1.0)
+    queue = WaitQueue()
+    queue.add(make_queued_request(started, 'late', latest_on_time_start_s=0.5))
+    queue.add(
+        make_queued_request(started, 'timely', latest_on_time_start_s=5.0)
+    )
+    queue.serve(1.0)
     assert started == ['timely', 'late']
 
 
 def test_line_keeps_those_without_room() -> None:
     """Guards against requests that are dropped when slots run out."""
     started: list[str] = []
-    line = WaitingLine()
+    queue = WaitQueue()
     for name in ('a', 'b', 'c'):
-        line.add(make_waiter(started, name, room=2))
-    line.serve(1.0)
-    assert (started, len(line)) == (['a', 'b'], 1)
+        queue.add(make_queued_request(started, name, room=2))
+    queue.serve(1.0)
+    assert (started, len(queue)) == (['a', 'b'], 1)
 
 
 def test_late_requests_are_refused_not_forgotten() -> None:
     """Guards against callers that are never told that they were given up."""
     started: list[str] = []
-    line = WaitingLine()
-    line.add(make_waiter(started, 'a', give_up_s=2.0))
-    line.drop_late(2.0)
-    assert (started, len(line)) == (['refused a'], 0)
+    queue = WaitQueue()
+    queue.add(make_queued_request(started, 'a', latest_start_s=2.0))
+    queue.refuse_expired(2.0)
+    assert (started, len(queue)) == (['refused a'], 0)
 
 
 @given(st.integers(1, 60))
 def test_refused_callers_return_one_after_the_other(refused: int) -> None:
     """Guards against a stampede of callers told the same time."""
-    line = WaitingLine()
-    times = [line.next_return_s(0.0, own_slots=10.0) for _ in range(refused)]
-    pace_s = line.hold_s / 5.0
+    queue = WaitQueue()
+    times = [queue.next_retry_s(0.0, own_slots=10.0) for _ in range(refused)]
+    pace_s = queue.mean_hold_s / 5.0
     gaps = [
         after - before for before, after in zip(times, times[1:], strict=False)
     ]
@@ -124,8 +126,8 @@
     time = FakeTime()
     dispatcher = make_dispatcher(time, make_endpoint('e1'))
     use(dispatcher.loads, 'e1', online=9, batch=0)
-    dispatcher.loads.take_report('p', {}, {'lm': 50}, 0, time.now_s)
-    placed = await dispatcher.place('lm', make_route(), time.now_s + 5, ())
+    dispatcher.loads.apply_report('p', {}, {'lm': 50}, 0, time.now_s)
+    placed = await dispatcher.acquire('lm', make_route(), time.now_s + 5, ())
     assert isinstance(placed, Err)
     assert placed.err_value.reason == 'no_slot_in_time'
     assert placed.err_value.retry_after_s > 0
@@ -145,13 +147,13 @@
     """Check that a request waits at a full endpoint until a slot is freed."""
     time = FakeTime()
     dispatcher = make_dispatcher(time, make_endpoint('e1'))
-    holders = [dispatcher.try_place('lm') for _ in range(5)]
-    dispatcher.loads.take_report('p', {}, {'lm': 4}, 0, time.now_s)
+    holders = [dispatcher.try_acquire('lm') for _ in range(5)]
+    dispatcher.loads.apply_report('p', {}, {'lm': 4}, 0, time.now_s)
     placed = []
 
     async def ask() -> None:
         placed.append(
-            await dispatcher.place(
+            await dispatcher.acquire(
                 'lm',
                 make_route(),
                 time.now_s + left_s,
@@ -183,9 +185,9 @@
     """Guards against slots that leak when a caller leaves the line."""
     time = FakeTime()
     dispatcher = make_dispatcher(time, make_endpoint('e1'))
-    holders = [dispatcher.try_place('lm') for _ in range(5)]
+    holders = [dispatcher.try_acquire('lm') for _ in range(5)]
     with anyio.move_on_after(0):
-        await dispatcher.place('lm', make_route(), time.now_s + 3.0, ())
+        await dispatcher.acquire('lm', make_route(), time.now_s + 3.0, ())
     for holder in holders:
         assert holder is not None
         dispatcher.release(holder)
@@ -196,6 +198,6 @@
     """Guards against requests that wait for endpoints that are not there."""
     time = FakeTime()
     dispatcher = make_dispatcher(time)
-    placed = await dispatcher.place('lm', make_route(), time.now_s + 5, ())
+    placed = await dispatcher.acquire('lm', make_route(), time.now_s + 5, ())
     assert isinstance(placed, Err)
     assert placed.err_value.reason == 'no_endpoint'
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -274,7 +274,7 @@
         now_s = time.monotonic()
         store.path.store = ('127.0.0.1', 1)
         store.path.note_peer(
-            'p', (host, int(port)), store_well_s=9.0, now_s=now_s
+            'p', (host, int(port)), store_up_s=9.0, now_s=now_s
         )
         for _ in range(2):
             assert isinstance(await store.get('k'), Err)
@@ -284,7 +284,7 @@
 def test_peer_without_a_store_carries_nothing() -> None:
     """Guards against calls that go round between entries without a store."""
     path = StorePath(('s', 1))
-    path.note_peer('p', ('p', 2), store_well_s=0.0, now_s=1.0)
+    path.note_peer('p', ('p', 2), store_up_s=0.0, now_s=1.0)
     for _ in range(3):
         path.note(('s', 1), answered=False, now_s=1.0)
     assert path.choose(1.0) == ('s', 1)
@@ -293,8 +293,8 @@
 def test_failing_peer_is_left_for_another() -> None:
     """Guards against calls that stay with a peer that can't carry them."""
     path = StorePath(('s', 1))
-    path.note_peer('p', ('p', 2), store_well_s=9.0, now_s=1.0)
-    path.note_peer('q', ('q', 3), store_well_s=9.0, now_s=1.0)
+    path.note_peer('p', ('p', 2), store_up_s=9.0, now_s=1.0)
+    path.note_peer('q', ('q', 3), store_up_s=9.0, now_s=1.0)
     for _ in range(2):
         path.note(('s', 1), answered=False, now_s=1.0)
     first = path.choose(1.0)
