--- a/src/quetzaldyke/gateway/configuration_feed.py
+++ b/src/quetzaldyke/gateway/configuration_feed.py
@@ -1,4 +1,4 @@
-"""Takes the operator's configuration over as it changes."""
+"""Applies the operator's configuration, and changes to it."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from quetzaldyke.platform import names
 from quetzaldyke.platform.records import decode_configuration
 
-# A configuration that was not confirmed for this long may be an old one.
+# A configuration that was not confirmed for this long may be out of date.
 CONFIG_MAX_AGE_S: Final = 4.0
 
 
 @dataclass(slots=True)
 class ConfigurationFeed:
-    """The configuration in force, and when it was last confirmed."""
+    """Holds the active configuration and when it was last confirmed."""
 
     now: Callable[[], float]
     on_configuration: Callable[[Configuration], None]
@@ -28,34 +28,37 @@
     confirmed_s: float = 0.0
 
     def confirm(self) -> None:
-        """The store has told all changes up to now."""
+        """Record that the store has sent all changes up to now."""
         self.confirmed_s = self.now()
 
     def is_current(self) -> bool:
-        """Tell whether the configuration was confirmed lately."""
+        """Return whether the configuration was confirmed recently enough."""
         return self.now() - self.confirmed_s < CONFIG_MAX_AGE_S
 
     def is_engine(self, service: str) -> bool:
-        """Tell whether the endpoints of a service are engines."""
+        """Return whether a known service's endpoints are model engines."""
         if self.configuration is None:
             return False
         known = self.configuration.services.get(service)
         return known is not None and known.is_engine
 
     def on_snapshot(self, snapshot: Snapshot) -> None:
-        """Take over the operator's keys."""
+        """Apply the configuration of a complete list of keys, if it has one."""
         for record in snapshot.records:
             if record.key == names.CONFIG_KEY:
                 self.apply(record.value)
 
     def on_changes(self, changes: list[WatchedChange], revision: int) -> None:
-        """Take over changes of the operator's keys."""
+        """Apply changes of the configuration key; ignore its deletion."""
         for change in changes:
             if change.key == names.CONFIG_KEY and change.value is not None:
                 self.apply(change.value)
 
     def apply(self, raw: bytes) -> None:
-        """Serve by a configuration unless a later one is in force."""
+        """Activate a configuration if it is newer than the active one.
+
+        An unreadable configuration is logged and ignored.
+        """
         decoded = decode_configuration(raw)
         if isinstance(decoded, Err):
             log_event('config_unreadable', reason=decoded.err_value)
--- a/src/quetzaldyke/gateway/dispatcher.py
+++ b/src/quetzaldyke/gateway/dispatcher.py
@@ -1,4 +1,8 @@
-"""Hands out places on endpoints to online requests and batch runs."""
+"""Reserves endpoint capacity for online requests and batch runs.
+
+A request that finds no capacity waits in the queue of its service, or is
+refused with the time at which to retry.
+"""
 
 from __future__ import annotations
 
@@ -30,18 +34,19 @@
 )
 from quetzaldyke.parts.timers import Clock
 
-# Told to callers of a service that has no endpoint at the moment.
+# Retry delay for callers of a service that has no usable endpoint.
 NO_ENDPOINT_RETRY_S: Final = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Why a request got no place, and when to come back."""
+    """Why a request was refused, and when the caller should retry."""
 
     reason: str
     retry_after_s: float
-    # What decided it: the wait for a slot, the requests that wait here and
-    # at the other entries, and the slots of the service.
+    # Inputs of the decision, for the log: the expected wait for a slot, the
+    # requests queued here and at the other entries, and the slots of the
+    # service.
     expected_wait_s: float = 0.0
     waiting: int = 0
     waiting_elsewhere: int = 0
@@ -50,37 +55,38 @@
 
 @dataclass(slots=True)
 class Reservation:
-    """A place that a request holds on an endpoint."""
+    """Capacity that one request or batch run occupies on an endpoint."""
 
     endpoint: Endpoint
     online: bool
     taken_s: float
-    # Whether the endpoint had no free slot when the place was taken.
+    # Whether the endpoint had no free slot at the time of the reservation, so
+    # that the request waits in the endpoint's own queue.
     queued: bool
     released: bool = False
 
 
 @dataclass(slots=True)
 class Dispatcher:
-    """Places, loads and the waiting lines of all services."""
+    """Assigns requests to endpoints and keeps one wait queue per service."""
 
     endpoints: EndpointTable
     loads: LoadTable
     policy: PlacementPolicy
     clock: Clock
     generator: random.Random
-    # Whether the endpoints of a service are engines.
+    # Returns whether the endpoints of a service are model engines.
     is_engine: Callable[[str], bool]
-    # Entries that share the endpoints.
+    # Returns the number of entries that share the endpoints.
     count_entries: Callable[[], int] = lambda: 1
-    # Asks for batch work to leave an endpoint.
+    # Requests that a batch run be preempted on an endpoint.
     preempt_batch: Callable[[Endpoint], None] = lambda endpoint: None
-    # Told when the own counts of an endpoint changed.
+    # Called when this entry's request counts of an endpoint change.
     on_change: Callable[[str], None] = lambda endpoint_id: None
     queues: dict[str, WaitQueue] = field(default_factory=dict)
 
     def queue(self, service: str) -> WaitQueue:
-        """Return the waiting line of a service."""
+        """Return the wait queue of a service; create it on first use."""
         known = self.queues.get(service)
         if known is None:
             known = self.queues[service] = WaitQueue()
@@ -93,7 +99,11 @@
         *,
         avoid_failing: bool = False,
     ) -> Reservation | None:
-        """Take a place for an online request if there is one."""
+        """Reserve capacity for an online request without waiting.
+
+        Returns None when no endpoint has capacity. Requests the preemption
+        of a batch run when the chosen slot is held by batch work.
+        """
         engine = self.is_engine(service)
         choice = self.policy.choose(
             self.endpoints.usable(
@@ -112,29 +122,32 @@
         return reservation
 
     def acquire_on(self, endpoint: Endpoint, *, online: bool) -> Reservation:
-        """Count a request on an endpoint."""
-        running = self.loads.own_counts(endpoint.endpoint_id)
+        """Reserve capacity on a given endpoint, without checking its load."""
+        counts = self.loads.own_counts(endpoint.endpoint_id)
         if online:
-            running.online += 1
+            counts.online += 1
         else:
-            running.batch += 1
+            counts.batch += 1
         self.on_change(endpoint.endpoint_id)
         queued = self.loads.total(endpoint.endpoint_id) > endpoint.slots
         return Reservation(endpoint, online, self.clock.now(), queued)
 
     def release(self, reservation: Reservation) -> None:
-        """Give a place back and serve those that wait."""
+        """Release a reservation and start queued requests.
+
+        Releasing a reservation a second time has no effect.
+        """
         if reservation.released:
             return
         reservation.released = True
-        running = self.loads.own_counts(reservation.endpoint.endpoint_id)
+        counts = self.loads.own_counts(reservation.endpoint.endpoint_id)
         service = reservation.endpoint.service
         if reservation.online:
-            running.online -= 1
+            counts.online -= 1
             held_s = self.clock.now() - reservation.taken_s
             self.queue(service).record_hold(held_s)
         else:
-            running.batch -= 1
+            counts.batch -= 1
         self.on_change(reservation.endpoint.endpoint_id)
         self.queue(service).serve(self.clock.now())
 
@@ -145,12 +158,16 @@
         deadline_s: float,
         excluded: Collection[str],
         *,
-        sent_before: bool = False,
+        already_sent: bool = False,
     ) -> Result[Reservation, Refusal]:
-        """Take a place, wait for one, or refuse.
+        """Reserve capacity for an online request, waiting if necessary.
 
-        A request that an endpoint had before waits like a caller that has
-        come back: it may have run, so it could not be refused truly.
+        Fails with a refusal when the service has no usable endpoint, when
+        the expected wait is too long, or when no slot became free in time.
+
+        A request that was already sent to an endpoint is queued under the
+        longer limit of retrying callers: it may have been executed, so
+        telling its caller that it was refused could be wrong.
         """
         now_s = self.clock.now()
         if not self.endpoints.usable(service, now_s):
@@ -165,13 +182,13 @@
                 return Ok(reservation)
         left_s = deadline_s - now_s
         expected_s = self.expected_wait_s(service)
-        full_s = math.inf if sent_before else route.timeout_s
+        full_s = math.inf if already_sent else route.timeout_s
         if not may_wait(expected_s, route.target_s, left_s, full_s):
             return Err(self.refusal('no_slot_in_time', service, left_s))
         return await self.wait_in_queue(service, route, deadline_s, excluded)
 
     def refusal(self, reason: str, service: str, left_s: float) -> Refusal:
-        """Return a refusal with the time to come back."""
+        """Return a refusal with a retry time reserved for this caller."""
         now_s = self.clock.now()
         usable = self.endpoints.usable(service, now_s)
         slots = sum(one.slots for one in usable)
@@ -187,9 +204,10 @@
         )
 
     def expected_wait_s(self, service: str) -> float:
-        """Return how long one more online request would wait.
+        """Return the expected wait of one more online request.
 
-        Those that wait in the engines' own queues are ahead of it too.
+        Requests in the endpoints' own queues and at other entries are
+        ahead of it too.
         """
         usable = self.endpoints.usable(service, self.clock.now())
         queued = sum(
@@ -202,7 +220,7 @@
         )
 
     def waiting(self) -> dict[str, int]:
-        """Return how many wait by service."""
+        """Return the number of queued requests by service, without zeros."""
         return {key: len(queue) for key, queue in self.queues.items() if queue}
 
     async def wait_in_queue(
@@ -212,7 +230,10 @@
         deadline_s: float,
         excluded: Collection[str],
     ) -> Result[Reservation, Refusal]:
-        """Wait until a place is free or the time is over."""
+        """Wait in the queue until capacity is free or the wait limit passes.
+
+        A reservation made while the caller cancels is released again.
+        """
         outcome: asyncio.Future[Reservation | None] = (
             asyncio.get_running_loop().create_future()
         )
@@ -267,19 +288,23 @@
         waiting: dict[str, int],
         pending: int,
     ) -> None:
-        """Take over what a peer runs, and serve those that wait."""
+        """Store the load report of a peer and start queued requests.
+
+        `waiting` are the peer's queued online requests by service,
+        `pending` its batch items that could start.
+        """
         now_s = self.clock.now()
         self.loads.apply_report(peer, counts, waiting, pending, now_s)
         self.serve_queues()
 
     def serve_queues(self) -> None:
-        """Start waiting requests where there is room."""
+        """Start the queued requests of all services that have capacity."""
         now_s = self.clock.now()
         for queue in self.queues.values():
             queue.serve(now_s)
 
     async def tick(self) -> None:
-        """Serve and refuse waiting requests as time passes."""
+        """Start queued requests, and refuse those past their wait limit."""
         now_s = self.clock.now()
         self.serve_queues()
         for queue in self.queues.values():
--- a/src/quetzaldyke/gateway/endpoint_feed.py
+++ b/src/quetzaldyke/gateway/endpoint_feed.py
@@ -1,4 +1,4 @@
-"""Takes the platform's list of endpoints over as it changes."""
+"""Applies the platform's endpoint list, and changes to it, to the table."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 @dataclass(slots=True)
 class EndpointFeed:
-    """Feeds the book of endpoints."""
+    """Updates the endpoint table from a watch on the endpoint records."""
 
     table: EndpointTable
     now: Callable[[], float]
-    # Told after the list has changed.
+    # Called after the table has been updated.
     on_change: Callable[[], None]
     listed: bool = False
 
     def on_snapshot(self, snapshot: Snapshot) -> None:
-        """Take over the whole list."""
+        """Replace the table by a complete list, skipping unreadable records."""
         endpoints = []
         for record in snapshot.records:
             decoded = decode_endpoint(record.key, record.value)
@@ -48,7 +48,7 @@
         self.on_change()
 
     def on_changes(self, changes: list[WatchedChange], revision: int) -> None:
-        """Take over changes of single entries."""
+        """Apply changes of single registrations."""
         for change in changes:
             endpoint_id = change.key.removeprefix(names.ENDPOINT_PREFIX)
             if change.value is None:
@@ -65,7 +65,7 @@
         self.on_change()
 
     def put(self, key: str, raw: bytes) -> str:
-        """Take over one entry; return its state for the log."""
+        """Apply one registration; return its state for the log."""
         decoded = decode_endpoint(key, raw)
         if isinstance(decoded, Err):
             return f'unreadable {decoded.err_value}'
--- a/src/quetzaldyke/gateway/endpoints.py
+++ b/src/quetzaldyke/gateway/endpoints.py
@@ -1,13 +1,14 @@
-"""What this entry believes about the endpoints of each service.
+"""Tracks which endpoints of each service can be used.
 
-Load pattern: endpoints come, leave, crash and come back while requests
-flow, and the list that names them lags or goes away.
+Endpoints start, drain, crash and restart while requests are served, and the
+platform's endpoint list lags behind or becomes unavailable.
 
-Three kinds of evidence are kept apart. The platform's list says who exists
-and who leaves. An outage of the list itself makes entries lapse although
-their endpoints live, so a removal during an outage or shortly after it only
-counts when the entry stays away. Failures that this entry met itself eject
-an endpoint for a short time, which grows while it keeps failing.
+Three sources are kept apart. The platform's list says which endpoints are
+registered and which are draining. An outage of the list itself makes
+registrations lapse although their endpoints still run, so a removal during an
+outage or shortly after it only counts if the registration does not come back.
+Failures observed by this entry eject an endpoint for a short time that grows
+while it keeps failing.
 """
 
 from __future__ import annotations
@@ -18,40 +19,41 @@
 
 from quetzaldyke.gateway.model import Endpoint
 
-# Entries that lapsed in an outage are back within two seconds of its end.
+# Registrations that lapsed in an outage are renewed within two seconds of its
+# end.
 LAPSE_GRACE_S: Final = 2.2
 FIRST_EJECTION_S: Final = 0.5
 MAX_EJECTION_S: Final = 4.0
 EJECTION_FACTOR: Final = 2.0
-# Weight of the latest answer in an endpoint's share of failures.
+# Weight of the latest answer in the moving average of an endpoint's failures.
 FAILURE_WEIGHT: Final = 0.15
-# An endpoint that fails this share of its requests is ejected although
-# every other request succeeds.
+# An endpoint that fails more than this share of its requests is ejected for the
+# longest time, even if its other requests succeed.
 MAX_FAILURE_SHARE: Final = 0.3
 
 
 @dataclass(slots=True)
 class TrackedEndpoint:
-    """One endpoint and what was seen of it."""
+    """A registered endpoint and the failures observed at it."""
 
     endpoint: Endpoint
-    # Set while its entry is missing because of an outage.
+    # Set while its registration is missing because of an outage.
     lapsed: bool = False
     ejected_until_s: float = 0.0
     failures_in_row: int = 0
     failure_share: float = 0.0
-    # When bytes of any request came from it.
+    # When the endpoint last sent bytes for any request.
     last_bytes_s: float = 0.0
 
 
 @dataclass(slots=True)
 class EndpointTable:
-    """Endpoints by id."""
+    """Endpoints by id, and grouped by service."""
 
     by_id: dict[str, TrackedEndpoint] = field(default_factory=dict)
     by_service: dict[str, list[TrackedEndpoint]] = field(default_factory=dict)
     outage: bool = False
-    # Time at which lapsed entries that did not come back count as gone.
+    # Time at which registrations that are still lapsed count as removed.
     lapse_ends_s: float = 0.0
 
     def replace_all(
@@ -59,7 +61,7 @@
         endpoints: Iterable[Endpoint],
         now_s: float,
     ) -> list[str]:
-        """Take over a whole list; return the ids that are gone."""
+        """Apply a complete list; return the ids of removed endpoints."""
         listed = {one.endpoint_id: one for one in endpoints}
         missing = [one for one in self.by_id if one not in listed]
         gone = [one for one in missing if self.remove(one, now_s)]
@@ -68,7 +70,10 @@
         return gone
 
     def put(self, endpoint: Endpoint) -> None:
-        """Add an endpoint or take over a change of its entry."""
+        """Add an endpoint or update its registration.
+
+        A restart of the endpoint clears the failures recorded for it.
+        """
         tracked = self.by_id.get(endpoint.endpoint_id)
         if tracked is not None:
             tracked.lapsed = False
@@ -84,7 +89,11 @@
         self.index()
 
     def remove(self, endpoint_id: str, now_s: float) -> bool:
-        """Note that an entry is missing; tell whether it counts as gone."""
+        """Handle a missing registration; return whether it was removed.
+
+        During and shortly after an outage the endpoint is only marked as
+        lapsed, unless it was draining.
+        """
         tracked = self.by_id.get(endpoint_id)
         if tracked is None:
             return False
@@ -97,32 +106,35 @@
         return True
 
     def index(self) -> None:
-        """Group the beliefs by service."""
+        """Rebuild the grouping by service."""
         self.by_service = {}
         for tracked in self.by_id.values():
             service = tracked.endpoint.service
             self.by_service.setdefault(service, []).append(tracked)
 
     def outage_began(self) -> None:
-        """Keep entries that go missing from now on."""
+        """Start an outage: lapse missing registrations, do not remove them."""
         self.outage = True
 
     def outage_ended(self, now_s: float) -> None:
-        """Give lapsed entries time to come back."""
+        """End an outage; lapsed registrations get a grace period to return."""
         self.outage = False
         self.lapse_ends_s = now_s + LAPSE_GRACE_S
 
     def outage_was_local(self) -> None:
-        """Only this entry lost the list, so no entry has lapsed in it."""
+        """End an outage that affected only this entry.
+
+        Registrations did not lapse in it, so there is no grace period.
+        """
         self.outage = False
 
     def is_gone(self, tracked: TrackedEndpoint, now_s: float) -> bool:
-        """Tell whether a lapsed entry has stayed away for too long."""
+        """Return whether a registration is lapsed past the grace period."""
         over = not self.outage and now_s >= self.lapse_ends_s
         return tracked.lapsed and over
 
     def drop_lapsed(self, now_s: float) -> list[str]:
-        """Remove entries that did not come back after an outage."""
+        """Remove endpoints lapsed past the grace period; return their ids."""
         gone = [
             key for key, one in self.by_id.items() if self.is_gone(one, now_s)
         ]
@@ -142,11 +154,12 @@
     ) -> list[Endpoint]:
         """Return the endpoints that may get a new request.
 
-        Ejected ones are used only when no other is left, so that a
-        fault of this entry's own cannot stop a whole service. A careful
-        choice, for a request that can't be repeated, also leaves out those
-        that have not answered since they last failed. The excluded ones are
-        used again when there is no other.
+        These are registered and not draining. Excluded and ejected endpoints
+        are left out, and with `avoid_failing`, for requests that can't be
+        repeated, also those that have not succeeded since their last
+        failure. Each of these three filters is dropped if it leaves no
+        endpoint, so that a fault of this entry itself, which ejects all
+        endpoints, does not stop a whole service.
         """
         listed = [
             one
@@ -164,27 +177,28 @@
         return [one.endpoint for one in healthy or listed]
 
     def note_bytes(self, endpoint_id: str, now_s: float) -> None:
-        """Bytes came from an endpoint."""
+        """Record that an endpoint sent bytes."""
         tracked = self.by_id.get(endpoint_id)
         if tracked is not None:
             tracked.last_bytes_s = now_s
 
     def sent_since(self, endpoint_id: str, since_s: float) -> bool:
-        """Tell whether an endpoint has sent something since a time."""
+        """Return whether an endpoint has sent bytes since the given time."""
         tracked = self.by_id.get(endpoint_id)
         return tracked is not None and tracked.last_bytes_s >= since_s
 
     def note_success(self, endpoint_id: str) -> None:
-        """An endpoint answered."""
+        """Record a successful answer of an endpoint."""
         tracked = self.by_id.get(endpoint_id)
         if tracked is not None:
             tracked.failures_in_row = 0
             tracked.failure_share *= 1 - FAILURE_WEIGHT
 
     def note_lost_answer(self, endpoint_id: str, now_s: float) -> float:
-        """An endpoint that serves others lost one answer.
+        """Record a lost answer of an endpoint that serves other requests.
 
-        It is ejected only when it loses a large share of them.
+        Returns for how many seconds the endpoint is ejected: 0 unless its
+        share of failures is too large.
         """
         tracked = self.by_id.get(endpoint_id)
         if tracked is None:
@@ -196,7 +210,7 @@
         return MAX_EJECTION_S
 
     def note_failure(self, endpoint_id: str, now_s: float) -> float:
-        """An endpoint failed; return for how long it is ejected."""
+        """Record a failure; return the seconds of the resulting ejection."""
         tracked = self.by_id.get(endpoint_id)
         if tracked is None:
             return 0.0
--- a/src/quetzaldyke/gateway/gossip.py
+++ b/src/quetzaldyke/gateway/gossip.py
@@ -1,9 +1,9 @@
-"""Datagrams between entries: what runs where, what broke, what to preempt.
+"""Datagrams between entries: load reports, crashes and preemption requests.
 
-Load pattern: slots change hands many times a second, far faster than the
-store could tell. Reports hold the whole state of their sender, so a lost
-datagram is mended by the next one; the interval grows with the number of
-peers, so that the traffic of one entry stays bounded.
+Slots are taken and released many times a second, far faster than the store
+could propagate. A report holds the complete load of its sender, so the next
+one makes up for a lost datagram. The interval between reports grows with the
+number of peers, so that the traffic of one entry stays bounded.
 """
 
 from __future__ import annotations
@@ -20,7 +20,8 @@
 
 MIN_INTERVAL_S: Final = 0.005
 INTERVAL_PER_PEER_S: Final = 0.0005
-# Sent even if nothing changed, so that peers know that this entry lives.
+# Longest time between two reports: one is sent even if nothing changed, so
+# that peers can tell that this entry is alive.
 HEARTBEAT_S: Final = 0.3
 
 Address = tuple[str, int]
@@ -28,22 +29,22 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Requests of the sender by endpoint id, and whether it has a store."""
+    """The sender's load by endpoint id, and its connection to the store."""
 
     sender: str
     counts: dict[str, RequestCounts]
-    # Online requests that wait for a slot at the sender, by service.
+    # Online requests that are queued at the sender, by service.
     waiting: dict[str, int]
-    # Batch items that could start at the sender, were there room.
+    # Batch items that the sender could start if there was capacity.
     pending: int
-    # For how long the sender itself has reached the platform's store; 0 when
-    # it does not.
+    # For how long the sender has reached the platform's store directly; 0 if
+    # it currently does not.
     store_up_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class PreemptBatch:
-    """Asks the receiver to stop one batch run on an endpoint."""
+    """Asks the receiver to preempt one of its batch runs on an endpoint."""
 
     sender: str
     endpoint_id: str
@@ -51,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobEnded:
-    """Tells that a job was ended by its caller."""
+    """Announces that a caller has ended a job."""
 
     sender: str
     job_id: str
@@ -59,10 +60,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashReport:
-    """Tells of endpoints that broke while they ran requests.
+    """Announces endpoint crashes that happened while requests ran.
 
-    Both tables hold crash ids by fingerprint, as `parts/suspects.py` has
-    them.
+    Both tables map request fingerprints to crash ids, as defined in
+    `parts/suspects.py`.
     """
 
     sender: str
@@ -74,7 +75,7 @@
 
 
 def encode(message: GossipMessage) -> bytes:
-    """Return the datagram of a message."""
+    """Encode a message as a datagram."""
     match message:
         case LoadReport(sender, counts, waiting, pending, store_up_s):
             rows = [[key, one.online, one.batch] for key, one in counts.items()]
@@ -89,7 +90,7 @@
 
 
 def decode(datagram: bytes) -> GossipMessage | None:
-    """Return the message of a datagram, or None if it is not readable.
+    """Decode a datagram; return None if it is malformed or of unknown type.
 
     >>> decode(encode(PreemptBatch('a', 'e1')))
     PreemptBatch(sender='a', endpoint_id='e1')
@@ -116,7 +117,7 @@
 
 @dataclass(slots=True)
 class Gossip(asyncio.DatagramProtocol):
-    """The datagram socket of one entry."""
+    """Datagram endpoint that exchanges messages with the peers of an entry."""
 
     own_id: str
     make_report: Callable[[], LoadReport]
@@ -128,24 +129,24 @@
     report_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport for sending."""
         self.transport = cast('asyncio.DatagramTransport', transport)
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Hand a readable message over."""
+        """Pass readable messages of other entries to the callback."""
         message = decode(data)
         if message is not None and message.sender != self.own_id:
             self.on_message(message)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore a peer that is not there; it leaves by its lease."""
+        """Ignore send errors; a peer that has gone is removed by its lease."""
 
     def interval_s(self) -> float:
-        """Return the shortest time between two reports."""
+        """Return the minimum time between two reports."""
         return max(MIN_INTERVAL_S, INTERVAL_PER_PEER_S * len(self.peers))
 
     def note_change(self) -> None:
-        """Send a report soon; changes in the meantime share it."""
+        """Schedule a report; changes until it is sent are part of it."""
         if self.report_timer is not None or self.transport is None:
             return
         loop = asyncio.get_running_loop()
@@ -153,13 +154,13 @@
         self.report_timer = loop.call_later(due_s, self.send_report)
 
     def send_report(self) -> None:
-        """Tell all peers the own counts."""
+        """Send this entry's load report to all peers."""
         self.report_timer = None
         self.last_report_s = asyncio.get_running_loop().time()
         self.broadcast(self.make_report())
 
     async def heartbeat(self) -> None:
-        """Report if nothing was sent lately."""
+        """Send a report if the last one is older than the heartbeat."""
         if asyncio.get_running_loop().time() - self.last_report_s > HEARTBEAT_S:
             self.send_report()
 
@@ -170,18 +171,18 @@
             self.send_to(address, datagram)
 
     def send(self, peer: str, message: GossipMessage) -> None:
-        """Send a message to one peer."""
+        """Send a message to one peer; ignore unknown peers."""
         address = self.peers.get(peer)
         if address is not None:
             self.send_to(address, encode(message))
 
     def send_to(self, address: Address, datagram: bytes) -> None:
-        """Send a datagram; one that can't be sent is as good as lost."""
+        """Send a datagram; drop it if the socket is not open yet."""
         if self.transport is not None:
             self.transport.sendto(datagram, address)
 
     def close(self) -> None:
-        """Close the socket."""
+        """Cancel a scheduled report and close the socket."""
         if self.report_timer is not None:
             self.report_timer.cancel()
         if self.transport is not None:
--- a/src/quetzaldyke/gateway/loads.py
+++ b/src/quetzaldyke/gateway/loads.py
@@ -1,11 +1,11 @@
-"""How many requests run on each endpoint, over all entries.
+"""Counts the requests on each endpoint over all entries.
 
-Load pattern: several entries fill the same endpoints at once, and engines
-admit in order of arrival, so an entry that counts only its own requests
-overfills some endpoints while others have room.
+Several entries send to the same endpoints at once, and engines admit requests
+in order of arrival, so an entry that counted only its own requests would
+overload some endpoints while others have free slots.
 
-Each entry counts its own requests exactly and tells its peers the counts;
-what a silent peer said is forgotten after a second.
+Each entry counts its own requests exactly and sends the counts to its peers.
+The report of a silent peer expires after one second.
 """
 
 from __future__ import annotations
@@ -18,72 +18,75 @@
 
 @dataclass(slots=True)
 class RequestCounts:
-    """Requests on one endpoint."""
+    """Numbers of online requests and batch items on one endpoint."""
 
     online: int = 0
     batch: int = 0
 
     @property
     def total(self) -> int:
-        """Return all requests."""
+        """Return the sum of online requests and batch items."""
         return self.online + self.batch
 
 
-# Stands for endpoints without requests; never changed.
+# Shared default for endpoints without requests; must not be modified.
 NO_REQUESTS: Final = RequestCounts()
 
 
 @dataclass(slots=True)
 class PeerReport:
-    """The counts of one peer and when they came."""
+    """The last load report of one peer."""
 
     counts: dict[str, RequestCounts]
-    # Online requests in line by service.
+    # Queued online requests by service.
     waiting: dict[str, int]
-    # Batch items that could start.
+    # Batch items that could start if there was capacity.
     pending: int
     received_s: float
 
 
 @dataclass(slots=True)
 class LoadTable:
-    """Counts of this entry and of its peers, by endpoint id."""
+    """Request counts of this entry and of its peers, by endpoint id."""
 
     own: dict[str, RequestCounts] = field(default_factory=dict)
     peers: dict[str, PeerReport] = field(default_factory=dict)
     peer_totals: dict[str, RequestCounts] = field(default_factory=dict)
 
     def own_counts(self, endpoint_id: str) -> RequestCounts:
-        """Return this entry's counts."""
+        """Return this entry's mutable counts; create them on first use."""
         counts = self.own.get(endpoint_id)
         if counts is None:
             counts = self.own[endpoint_id] = RequestCounts()
         return counts
 
     def online(self, endpoint_id: str) -> int:
-        """Return the online requests of all entries."""
+        """Return the number of online requests on an endpoint, all entries."""
         own = self.own.get(endpoint_id, NO_REQUESTS)
         return (
             own.online + self.peer_totals.get(endpoint_id, NO_REQUESTS).online
         )
 
     def total(self, endpoint_id: str) -> int:
-        """Return all requests of all entries."""
+        """Return the number of all requests on an endpoint, all entries."""
         own = self.own.get(endpoint_id, NO_REQUESTS)
         return own.total + self.peer_totals.get(endpoint_id, NO_REQUESTS).total
 
     def waiting_elsewhere(self, service: str) -> int:
-        """Return the online requests that wait at the peers."""
+        """Return the number of online requests that are queued at the peers."""
         return sum(
             report.waiting.get(service, 0) for report in self.peers.values()
         )
 
     def pending_elsewhere(self) -> int:
-        """Return the batch items that could start at the peers."""
+        """Return the number of batch items that the peers could start."""
         return sum(report.pending for report in self.peers.values())
 
     def batch_peers(self, endpoint_id: str) -> list[tuple[int, str]]:
-        """Return the peers with batch work on an endpoint, most first."""
+        """Return the peers that run batch items on an endpoint.
+
+        Each row holds the number of items and the peer, most items first.
+        """
         found = [
             (report.counts[endpoint_id].batch, peer)
             for peer, report in self.peers.items()
@@ -99,12 +102,12 @@
         pending: int,
         now_s: float,
     ) -> None:
-        """Replace what a peer said."""
+        """Replace the load report of a peer."""
         self.peers[peer] = PeerReport(counts, waiting, pending, now_s)
         self.sum_peers()
 
     def remove_silent_peers(self, now_s: float) -> list[str]:
-        """Drop the reports of peers that fell silent."""
+        """Remove expired peer reports; return the ids of their peers."""
         silent = [
             peer
             for peer, report in self.peers.items()
@@ -117,7 +120,7 @@
         return silent
 
     def sum_peers(self) -> None:
-        """Add up the peers' counts."""
+        """Recompute the sums of the peers' counts by endpoint."""
         sums: dict[str, RequestCounts] = {}
         for report in self.peers.values():
             for endpoint_id, running in report.counts.items():
@@ -127,6 +130,9 @@
         self.peer_totals = sums
 
     def report(self) -> dict[str, RequestCounts]:
-        """Return what to tell the peers, and forget idle endpoints."""
+        """Return this entry's counts for the peers, without idle endpoints.
+
+        The counts of idle endpoints are removed.
+        """
         self.own = {key: one for key, one in self.own.items() if one.total}
         return self.own
--- a/src/quetzaldyke/gateway/membership.py
+++ b/src/quetzaldyke/gateway/membership.py
@@ -1,10 +1,11 @@
-"""This entry's own registration, and whose jobs it has to run.
-
-A lease says which entries run. It only decides who tries: a job's state is
-changed under a condition, so two entries that both believe to own a job
-can't both list results. Jobs of a lost entry go to the entry that ranks
-first for them, once the store has been well for long enough that its own
-outage can't be what made the lease lapse.
+"""Registers this entry under a lease and selects orphaned jobs to take over.
+
+Leases show which entries run, but they only decide which entry attempts a
+takeover. A job's state is changed by conditional transactions, so two entries
+that both consider themselves the owner of a job can't both list results. Jobs
+of a lost entry go to the entry that ranks first for them in rendezvous
+hashing, once the store has been reachable for long enough that a store outage
+can't have caused the lease to lapse.
 """
 
 from __future__ import annotations
@@ -27,15 +28,15 @@
 
 LEASE_TTL_S: Final = 3.0
 RENEWAL_INTERVAL_S: Final = 1.0
-# An owner whose lease has lapsed gets this long to come back.
+# An owner whose lease has lapsed gets this long to register again.
 OWNER_GRACE_S: Final = 0.7
-# After an outage of the store, leases that lapsed in it are granted again.
+# Time after a store outage for entries to renew the leases that lapsed in it.
 OUTAGE_GRACE_S: Final = 2.5
 
 
 @dataclass(slots=True)
 class Registration:
-    """The lease of one entry."""
+    """The leased member record of this entry."""
 
     store: TransactionalStore
     member: Member
@@ -48,7 +49,10 @@
         return f'{MEMBER_PREFIX}{self.member.owner_id}'
 
     async def renew(self) -> None:
-        """Renew the lease, or register again when it has lapsed."""
+        """Renew the lease, or register again if it has lapsed.
+
+        Other errors of the store leave the registration as it is.
+        """
         if self.ended:
             return
         if self.lease_id:
@@ -62,7 +66,10 @@
         await self.register()
 
     async def register(self) -> None:
-        """Take a lease and write the member record under it."""
+        """Obtain a lease and write the member record under it.
+
+        The entry stays unregistered if either call fails.
+        """
         granted = await self.store.grant_lease(LEASE_TTL_S)
         if isinstance(granted, Err):
             return
@@ -76,7 +83,7 @@
         log_event('registered', lease=lease_id, revision=written.ok_value)
 
     async def end(self) -> None:
-        """Give the lease up, so that others take over at once."""
+        """Revoke the lease, so that other entries take over at once."""
         self.ended = True
         if self.lease_id:
             await self.store.end_lease(self.lease_id)
@@ -84,16 +91,16 @@
 
 @dataclass(slots=True)
 class Ownership:
-    """Decides which jobs without an owner this entry takes over."""
+    """Decides which jobs of lost owners this entry takes over."""
 
     book: JobBook
     member: Member
-    # When an owner was first seen to be missing.
+    # When each owner was first found without a member record.
     missing_since: dict[str, float]
 
     @classmethod
     def of(cls, book: JobBook, member: Member) -> Ownership:
-        """Start without suspicions."""
+        """Return an instance that has found no owner missing yet."""
         return cls(book, member, {})
 
     def orphans(
@@ -104,7 +111,9 @@
     ) -> list[str]:
         """Return the jobs that this entry should take over now.
 
-        `alive` are the entries whose reports arrive.
+        `alive` are the entries whose load reports are arriving. Shortly
+        after a store outage, only jobs of earlier processes of this instance
+        are returned.
         """
         members = self.book.members
         owners = {
@@ -137,7 +146,12 @@
         now_s: float,
         alive: Collection[str],
     ) -> bool:
-        """Tell whether an owner runs no more."""
+        """Return whether the process of an owner has ended.
+
+        That is so for an earlier process of this instance, and for an owner
+        that has had neither a member record nor load reports for the grace
+        period.
+        """
         if owner_id == self.member.owner_id:
             return False
         if self.is_predecessor(instance):
@@ -149,7 +163,7 @@
         return now_s - since_s >= OWNER_GRACE_S
 
     def is_predecessor(self, instance: str) -> bool:
-        """Tell whether an owner was an earlier process of this instance."""
+        """Return whether the owner was an earlier process of this instance."""
         return instance == self.member.instance
 
     def should_take_over(
@@ -158,7 +172,7 @@
         view: JobView,
         gone: Collection[str],
     ) -> bool:
-        """Tell whether this entry ranks first for an orphaned job."""
+        """Return whether a job is orphaned and this entry's to take over."""
         assert view.state is not None
         if view.state.owner_id not in gone:
             return False
--- a/src/quetzaldyke/gateway/model.py
+++ b/src/quetzaldyke/gateway/model.py
@@ -1,7 +1,7 @@
-"""What an entry believes about its installation, in the project's words.
+"""Immutable data types for the configuration, endpoints and installation.
 
-The adapter decodes the platform's records into these types. They hold no
-behaviour beyond simple look-ups and live as long as one configuration
+The platform adapter decodes the platform's records into these types. They
+have no behaviour beyond simple look-ups and are valid for one configuration
 version or one registration of an endpoint.
 """
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """A service that a route sends a share of its requests to."""
+    """A service of a route, and its weight in the traffic split."""
 
     service: str
     weight: float
@@ -24,32 +24,34 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchRouteOptions:
-    """What a batch route promises about its jobs."""
+    """Time limits and token quota of the jobs on a batch route."""
 
     # From the first submission to the last result.
     completion_target_s: float
-    # From the first submission until an item may be given up.
+    # From the first submission until an unfinished item may be abandoned.
     max_wait_s: float
-    # Tokens of unfinished items over all jobs; 0 means no limit.
+    # Limit on the tokens of unfinished items of all jobs; 0 means no limit.
     max_waiting_tokens: int
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where the requests of one host and path prefix go."""
+    """Services and policy for the requests of one host and path prefix."""
 
     name: str
     host: str
     prefix: str
     kind: RouteKind
     timeout_s: float
-    # Latency objective: first event of a stream, whole answer otherwise.
+    # Latency objective: until the first event of a stream, or until the end of
+    # any other answer.
     target_s: float
     # 0 is the most urgent.
     priority: int
-    # Endpoints that one request may be sent to.
+    # Limit on the endpoints that one request may be sent to.
     max_attempts: int
-    # A stream may go on at another endpoint after the last event.
+    # Whether a broken stream may be resumed at another endpoint after the
+    # last delivered event.
     resumable: bool
     # Longest pause between the events of a stream.
     max_gap_s: float
@@ -58,24 +60,24 @@
 
     @property
     def idempotent(self) -> bool:
-        """Tell whether a request may run more than once."""
+        """Return whether a request may be executed more than once."""
         return self.kind == 'idempotent' or self.resumable
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A set of equal endpoints."""
+    """A set of interchangeable endpoints."""
 
     name: str
     health_path: str
     max_connections: int
-    # Whether the endpoints are model engines that batch requests.
+    # Whether the endpoints are model engines, which batch requests.
     is_engine: bool
 
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bounds on what a caller may send."""
+    """Size and time limits on callers' requests."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -104,27 +106,27 @@
     failure_domain: str
     slots: int
     state: EndpointState
-    # Unix time of its start; 0 when it does not say.
+    # Unix time of its start; 0 if it did not report one.
     started_ms: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Time bounds that the installation sets."""
+    """Time limits set by the installation."""
 
-    # A request reaches no leaving endpoint later than this.
+    # A draining endpoint gets no request later than this.
     drain_s: float
     # From SIGTERM to SIGKILL.
     grace_s: float
     # From the end of a job to the last start of one of its items.
     cancel_s: float
-    # How long a job and its results can be read.
+    # How long a job and its results can be read after its acceptance.
     job_retention_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Installation:
-    """What a process is told about itself at its start."""
+    """Settings of one process, read from the settings file at its start."""
 
     instance: str
     role: str
--- a/src/quetzaldyke/gateway/placement.py
+++ b/src/quetzaldyke/gateway/placement.py
@@ -1,9 +1,10 @@
 """Chooses the endpoint of an online request.
 
-Load pattern: short bursts of online streams over long batch runs on engines
-with few slots. A free slot in the own failure domain is best, a free slot
-anywhere next, then a slot that batch work gives up, then a short place in an
-engine's own queue. Without any of these the request has to wait here.
+Short bursts of online streams compete with long batch runs for engines with
+few slots. In order of preference, a request gets a free slot, a slot held by
+preemptible batch work, or a position in an endpoint's own short queue. Among
+these, endpoints in this entry's failure domain are preferred. Otherwise the
+request has to wait at the entry.
 """
 
 from __future__ import annotations
@@ -16,24 +17,27 @@
 from quetzaldyke.gateway.loads import LoadTable
 from quetzaldyke.gateway.model import Endpoint
 
-# Requests beyond its slots that an engine may be given: their wait for a
-# slot is shorter than the time for the news of a free slot to get around.
+# Online requests that an engine may be given beyond its slots. They wait less
+# for a slot there than a load report about a free slot takes to arrive.
 QUEUED_PER_ENGINE: Final = 1
-# Requests beyond its slots that a plain service may be given.
+# Online requests that an endpoint of a non-engine service may be given
+# beyond its slots.
 QUEUED_PER_SERVICE: Final = 12
-# Slots by which the random tie-break blurs the load, at most. News about
-# other entries is older in a larger fleet, and all of them would choose the
-# same emptiest endpoint.
+# Upper bound of the random jitter that is added to the load of an endpoint, in
+# slots. It grows with the number of peers: load reports are older in a larger
+# fleet, and without jitter all entries would choose the same least loaded
+# endpoint.
 JITTER_PER_PEER: Final = 0.05
 MIN_JITTER: Final = 0.25
 MAX_JITTER: Final = 1.5
-# How much fuller the own failure domain may be, as a share of the slots.
+# Added to the utilisation of endpoints in other failure domains: endpoints in
+# the own domain are preferred while they are less than this share fuller.
 REMOTE_PENALTY: Final = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """The chosen endpoint, and whether batch work must yield."""
+    """The chosen endpoint, and whether a batch run must be preempted."""
 
     endpoint: Endpoint
     preempt_batch: bool
@@ -41,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementPolicy:
-    """What the choice depends on besides the load."""
+    """Chooses endpoints by load, failure domain and random jitter."""
 
     failure_domain: str
     generator: random.Random
@@ -52,7 +56,11 @@
         candidates: Sequence[Endpoint],
         max_queued: int,
     ) -> Placement | None:
-        """Return where a request goes, or None if it has to wait."""
+        """Return the placement of an online request, or None if all are full.
+
+        `max_queued` online requests beyond its slots may be given to each
+        endpoint.
+        """
         if not candidates:
             return None
         free = [
@@ -76,17 +84,17 @@
         return None
 
     def utilisation(self, endpoint: Endpoint) -> float:
-        """Return the share of slots in use, lower in the own domain."""
+        """Return the share of slots in use plus the locality penalty."""
         used = self.loads.total(endpoint.endpoint_id) / endpoint.slots
         return used + self.locality_penalty(endpoint)
 
     def online_utilisation(self, endpoint: Endpoint) -> float:
-        """Return the share of slots that online requests use."""
+        """Return the share of slots used online plus the locality penalty."""
         used = self.loads.online(endpoint.endpoint_id) / endpoint.slots
         return used + self.locality_penalty(endpoint)
 
     def locality_penalty(self, endpoint: Endpoint) -> float:
-        """Return the handicap of an endpoint, with a random tie-break."""
+        """Return the penalty for a remote failure domain plus random jitter."""
         remote = endpoint.failure_domain != self.failure_domain
         penalty = REMOTE_PENALTY if remote else 0
         jitter = MIN_JITTER + JITTER_PER_PEER * len(self.loads.peers)
--- a/src/quetzaldyke/gateway/relay.py
+++ b/src/quetzaldyke/gateway/relay.py
@@ -56,7 +56,7 @@
             request.route,
             request.deadline_s,
             progress.tried,
-            sent_before=progress.sends > 0,
+            already_sent=progress.sends > 0,
         )
         if isinstance(placed, Err):
             log_refusal(context, request, placed.err_value)
--- a/src/quetzaldyke/gateway/route_table.py
+++ b/src/quetzaldyke/gateway/route_table.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request: longest path prefix among a host's routes."""
+"""Finds the route of a request by its host and the longest path prefix."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
     @classmethod
     def from_configuration(cls, configuration: Configuration) -> RouteTable:
-        """Order the routes of a configuration."""
+        """Build the table, sorting the routes of each host by prefix."""
         grouped: dict[str, list[Route]] = {}
         for route in configuration.routes:
             grouped.setdefault(route.host, []).append(route)
@@ -31,7 +31,7 @@
         return cls(configuration.version, ordered, named)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest matching prefix."""
+        """Return the route with the longest matching prefix, or None."""
         for route in self.by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
@@ -39,12 +39,15 @@
 
 
 def prefix_length(route: Route) -> int:
-    """Return the sort key of a route."""
+    """Return the length of a route's path prefix."""
     return len(route.prefix)
 
 
 def choose_service(route: Route, generator: random.Random) -> str:
-    """Draw the service of one request by the weights of the route."""
+    """Choose the service of a request at random by the route's weights.
+
+    Without a positive weight, the first service is returned.
+    """
     if len(route.services) == 1:
         return route.services[0].service
     weights = [max(0.0, share.weight) for share in route.services]
--- a/src/quetzaldyke/gateway/store_health.py
+++ b/src/quetzaldyke/gateway/store_health.py
@@ -1,4 +1,4 @@
-"""Whether the platform's store answers this process."""
+"""Tracks whether the platform's store answers this process."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-# Failed calls in a row after which the store counts as down.
+# Consecutive failed calls after which the store counts as down.
 DOWN_AFTER_FAILURES: Final = 2
 
 
 @dataclass(slots=True)
 class StoreHealth:
-    """Belief about the store from the outcomes of calls.
+    """Up or down state of the store, derived from the outcomes of calls.
 
     >>> health = StoreHealth()
     >>> health.note(answered=False, now_s=1.0)
@@ -29,15 +29,15 @@
     up: bool = True
     failures: int = 0
     last_answer_s: float = 0.0
-    # Since when every call was answered.
+    # Time since which no call has failed.
     up_since_s: float = 0.0
-    # When the store was last found to be lost.
+    # When the store was last found to be down.
     down_at_s: float = 0.0
     on_lost: list[Callable[[], None]] = field(default_factory=list)
     on_regained: list[Callable[[], None]] = field(default_factory=list)
 
     def note(self, *, answered: bool, now_s: float) -> None:
-        """Take over the outcome of one call."""
+        """Record the outcome of a call; run `on_lost` on going down."""
         if answered:
             self.note_answer(now_s)
             return
@@ -50,11 +50,11 @@
                 handler()
 
     def up_s(self, now_s: float) -> float:
-        """Return for how long calls were answered, 0 while they are not."""
+        """Return for how long all calls were answered; 0 while down."""
         return now_s - self.up_since_s if self.up else 0.0
 
     def note_answer(self, now_s: float) -> None:
-        """The store answered a call."""
+        """Record an answered call; run `on_regained` on coming back up."""
         self.failures = 0
         if not self.last_answer_s:
             self.up_since_s = now_s
--- a/src/quetzaldyke/gateway/store_path.py
+++ b/src/quetzaldyke/gateway/store_path.py
@@ -1,9 +1,9 @@
-"""Which way this entry's calls take to the platform's store.
+"""Selects the path of this entry's calls to the platform's store.
 
-Failure pattern: the store turns single instances away, or a cut separates
-them from it, while their peers still reach it. The calls then go through a
-peer that reports a working way of its own, and come back to the direct way
-as soon as a probe on it succeeds.
+The store may reject single instances, or a network partition may separate
+them from it, while their peers still reach it. Calls then go through a peer
+that reports a working direct path, and return to this entry's direct path as
+soon as a probe on it succeeds.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 from quetzaldyke.gateway.store_health import StoreHealth
 
-# A peer whose last report is older carries no calls.
+# No calls are sent through a peer whose last report is older.
 PEER_REPORT_TTL_S: Final = 1.0
-# A peer that has been silent for this long has left.
+# A peer that has been silent for longer is removed.
 PEER_RETENTION_S: Final = 30.0
-# A peer through which a call failed is not used again for this long.
+# A peer is not used for this long after a call through it failed.
 PEER_BACKOFF_S: Final = 2.0
 
 Address = tuple[str, int]
@@ -26,10 +26,10 @@
 
 @dataclass(slots=True)
 class PeerPath:
-    """A peer's report about its own way to the store."""
+    """The path through a peer, and the peer's report about its direct path."""
 
     address: Address
-    # For how long it has reached the store; 0 when it does not.
+    # For how long the peer has reached the store; 0 if it currently does not.
     store_up_s: float
     reported_s: float
     paused_until_s: float = 0.0
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class StorePath:
-    """The ways to the store and the one in use.
+    """The paths to the store, and the address that is in use.
 
     >>> path = StorePath(('10.0.0.1', 80))
     >>> path.note_peer('p', ('10.0.0.2', 70), store_up_s=9.0, now_s=1.0)
@@ -55,7 +55,7 @@
     store: Address
     direct: StoreHealth = field(default_factory=StoreHealth)
     peers: dict[str, PeerPath] = field(default_factory=dict)
-    # Told when the way in use changes.
+    # Called when the address in use changes.
     on_change: Callable[[Address], None] = lambda address: None
     in_use: Address | None = None
 
@@ -67,7 +67,7 @@
         store_up_s: float,
         now_s: float,
     ) -> None:
-        """Take over a peer's report."""
+        """Record a peer's report about its direct path."""
         known = self.peers.get(peer)
         if known is None:
             self.peers[peer] = PeerPath(address, store_up_s, now_s)
@@ -77,13 +77,13 @@
         known.reported_s = now_s
 
     def remove_silent_peers(self, now_s: float) -> None:
-        """Drop the peers that have left."""
+        """Remove the peers that have been silent for too long."""
         for peer, peer_path in list(self.peers.items()):
             if now_s - peer_path.reported_s > PEER_RETENTION_S:
                 del self.peers[peer]
 
     def choose(self, now_s: float) -> Address:
-        """Return the address that the next call goes to."""
+        """Return the address for the next call, and report a change of it."""
         address = self.best_address(now_s)
         if address != self.in_use:
             self.in_use = address
@@ -91,7 +91,7 @@
         return address
 
     def best_address(self, now_s: float) -> Address:
-        """Return the direct way while it works, else that of a peer."""
+        """Return the store's address, or a usable peer's while it is down."""
         if self.direct.up:
             return self.store
         for peer_path in self.peers.values():
@@ -105,9 +105,9 @@
         return self.store
 
     def any_peer_up_since(self, since_s: float, now_s: float) -> bool:
-        """Tell whether a peer has reached the store all the time since then.
+        """Return whether any peer has reached the store ever since that time.
 
-        If so, the store itself was not away.
+        If so, the store itself had no outage in that time.
         """
         return any(
             now_s - peer_path.reported_s <= PEER_REPORT_TTL_S
@@ -117,7 +117,7 @@
         )
 
     def note(self, address: Address, *, answered: bool, now_s: float) -> None:
-        """Take over the outcome of a call on one way."""
+        """Record the outcome of a call to the store or through a peer."""
         if address == self.store:
             self.direct.note(answered=answered, now_s=now_s)
             return
--- a/src/quetzaldyke/gateway/store_tunnel.py
+++ b/src/quetzaldyke/gateway/store_tunnel.py
@@ -1,7 +1,7 @@
-"""Carries a peer's connections to the platform's store.
+"""Relays TCP connections of peers to the platform's store.
 
-The bytes pass unchanged, so the store's answers need no translation and a
-call that is cut here looks to the peer like any other broken connection.
+Bytes pass unchanged, so the store's responses need no translation, and a call
+that is interrupted here looks to the peer like any other broken connection.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from quetzaldyke.gateway.logs import log_event
 
 CONNECT_TIMEOUT_S: Final = 0.4
-# Calls of a peer that are carried at once.
+# Peer connections that are relayed at the same time.
 MAX_TUNNELS: Final = 64
 
 
@@ -25,7 +25,7 @@
     *,
     task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Accept connections of peers until cancelled."""
+    """Accept and relay connections of peers until cancelled."""
     limiter = anyio.CapacityLimiter(MAX_TUNNELS)
 
     async def handle(peer: ByteStream) -> None:
@@ -41,7 +41,10 @@
 
 
 async def relay_connection(peer: ByteStream, store: tuple[str, int]) -> None:
-    """Carry one connection until either side ends it."""
+    """Relay one connection until either side closes it.
+
+    A failure to connect to the store is logged, and the relay ends.
+    """
     try:
         with anyio.fail_after(CONNECT_TIMEOUT_S):
             stream = await anyio.connect_tcp(*store)
@@ -56,7 +59,7 @@
 async def copy(
     source: ByteStream, target: ByteStream, group: TaskGroup
 ) -> None:
-    """Copy bytes one way; the end of one way ends both."""
+    """Copy bytes in one direction, then cancel both directions."""
     try:
         async for chunk in source:
             await target.send(chunk)
--- a/src/quetzaldyke/gateway/wait_queue.py
+++ b/src/quetzaldyke/gateway/wait_queue.py
@@ -1,14 +1,14 @@
-"""Who waits for a slot, who is refused, and when a caller may return.
+"""Queues online requests that wait for a slot, or refuses them.
 
-Load pattern: a burst of online requests beyond the slots of a service, and
-the stampede of callers that come back after an outage.
+This handles bursts of online requests beyond the slots of a service, and the
+retry storm of callers after an outage.
 
-A new request waits only while its objective can still be met; otherwise it
-is refused at once and told when to come back. Return times are handed out
-one after the other at the pace at which slots become free, so that refused
-callers don't return together. A caller that has come back already is not
-sent away again while it can bear the wait. In line, requests that can still
-be on time go before those that can't, within the same priority.
+A new request is queued only if it can still meet its latency objective;
+otherwise it is refused at once with a retry time. Retry times are spaced at
+the rate at which slots become free, so that refused callers don't return
+together. A caller that has already retried is queued as long as it can
+afford the wait. Within a priority, requests that can still meet their
+objective are served before those that can't.
 """
 
 from __future__ import annotations
@@ -18,40 +18,44 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-# Time that an endpoint needs from the start of a request to its first event.
+# Time from the start of a request at an endpoint to its first event.
 FIRST_EVENT_LATENCY_S: Final = 0.1
-# Weight of the latest slot time in its moving average.
+# Weight of the latest sample in the moving average of slot hold times.
 HOLD_WEIGHT: Final = 0.05
 DEFAULT_HOLD_S: Final = 0.5
 MIN_RETRY_AFTER_S: Final = 0.25
-# Callers wait for a third of the time that they have left at most.
+# Largest retry delay, as a share of the request's remaining time: callers
+# wait for at most a third of it.
 RETRY_AFTER_SHARE: Final = 0.33
-# Share of the slots that is left to new requests while callers return.
+# Share of the slots that is reserved for new requests while refused callers
+# retry.
 NEW_REQUESTS_SHARE: Final = 0.5
-# A request with this share of the route's time left is a caller's first.
+# A request with at least this share of the route's timeout left is taken for
+# the caller's first attempt, one with less for a retry.
 FIRST_TRY_SHARE: Final = 0.9
-# Callers give a silent stream up after the longest of these.
+# Callers abandon a silent stream after the longest of these: a fixed time, a
+# multiple of the latency objective, and a multiple of the longest event gap.
 MIN_CALLER_TIMEOUT_S: Final = 2.0
 CALLER_TIMEOUT_TARGETS: Final = 4.0
 CALLER_TIMEOUT_GAPS: Final = 8.0
-# Share of the patience that may pass in line.
+# Share of that time that a request may spend in the queue.
 QUEUE_TIME_SHARE: Final = 0.75
-# Share of the remaining time that may pass in line.
+# Share of the request's remaining time that it may spend in the queue.
 MAX_WAIT_SHARE: Final = 0.6
 
 
 @dataclass(slots=True, eq=False)
 class QueuedRequest:
-    """One request in line."""
+    """One request in the queue."""
 
     priority: int
-    # Latest start with which the objective is met.
+    # Latest start that still meets the latency objective.
     latest_on_time_start_s: float
-    # Latest start at all.
+    # The request is refused when it has not started by then.
     latest_start_s: float
-    # Tries to start the request; False when there is no room for it.
+    # Starts the request; returns False when no endpoint has capacity.
     try_start: Callable[[], bool]
-    # Tells the request that it was given up.
+    # Called when the request is refused.
     refuse: Callable[[], None]
     arrival_number: int = 0
     cancelled: bool = False
@@ -59,36 +63,40 @@
 
 @dataclass(slots=True)
 class WaitQueue:
-    """Requests of one service that wait for a slot."""
+    """Requests of one service that wait for a slot.
+
+    Estimates waits from the mean time for which requests hold a slot.
+    """
 
     requests: list[QueuedRequest] = field(default_factory=list)
     arrival_numbers: itertools.count[int] = field(
         default_factory=itertools.count
     )
     mean_hold_s: float = DEFAULT_HOLD_S
-    # Return time of the caller that was refused last.
+    # Retry time that was given to the last refused caller.
     last_retry_s: float = 0.0
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of requests that were not cancelled."""
         return sum(not one.cancelled for one in self.requests)
 
     def record_hold(self, hold_s: float) -> None:
-        """Learn for how long a request kept its slot."""
+        """Add the time for which a request held its slot to the mean."""
         self.mean_hold_s += HOLD_WEIGHT * (hold_s - self.mean_hold_s)
 
     def expected_wait_s(self, slots: int, elsewhere: int) -> float:
-        """Return how long one more request would wait.
+        """Return the expected wait of one more request.
 
-        `slots` are all slots of the service, and `elsewhere` the requests
-        that wait for them at other entries.
+        `slots` counts all slots of the service, `elsewhere` the requests
+        that wait for them outside this queue.
         """
         return (len(self) + elsewhere + 1) * self.mean_hold_s / max(slots, 1)
 
     def next_retry_s(self, now_s: float, own_slots: float) -> float:
-        """Hand out the time at which the next refused caller may return.
+        """Allocate the time at which the next refused caller should retry.
 
-        `own_slots` is this entry's share of the slots.
+        `own_slots` is this entry's share of the slots. Each call returns a
+        later time than the one before.
         """
         pace_s = self.mean_hold_s / max(
             own_slots * (1 - NEW_REQUESTS_SHARE), 1.0
@@ -98,12 +106,16 @@
         return self.last_retry_s
 
     def add(self, request: QueuedRequest) -> None:
-        """Put a request in line."""
+        """Append a request to the queue."""
         request.arrival_number = next(self.arrival_numbers)
         self.requests.append(request)
 
     def serve(self, now_s: float) -> None:
-        """Start waiting requests while there is room."""
+        """Start queued requests until one finds no capacity.
+
+        The order is by priority, then requests that can still meet their
+        objective, then arrival.
+        """
         if not self.requests:
             return
         self.requests.sort(
@@ -120,7 +132,7 @@
         self.requests.clear()
 
     def refuse_expired(self, now_s: float) -> None:
-        """Refuse those that can't be served in time any more."""
+        """Refuse the requests whose latest start has passed."""
         for request in self.requests:
             if not request.cancelled and request.latest_start_s <= now_s:
                 request.cancelled = True
@@ -134,7 +146,10 @@
     left_s: float,
     timeout_s: float,
 ) -> bool:
-    """Tell whether a request is better off in line than refused.
+    """Return whether a request may be queued instead of refused.
+
+    A first attempt must still meet its latency objective; a retry may wait
+    for a share of its remaining time.
 
     >>> may_wait(0.1, target_s=0.3, left_s=5.0, timeout_s=5.0)
     True
@@ -149,7 +164,7 @@
 
 
 def max_queue_time_s(target_s: float, max_gap_s: float) -> float:
-    """Return how long a request may stay in line.
+    """Return the longest time that a request may spend in the queue.
 
     >>> max_queue_time_s(0.3, 0.25), max_queue_time_s(0.3, 0.5)
     (1.5, 3.0)
@@ -163,7 +178,9 @@
 
 
 def retry_after_s(retry_at_s: float, now_s: float, left_s: float) -> float:
-    """Return what a refused caller is told, within what it can wait.
+    """Return the retry delay for a refused caller.
+
+    It is limited to a share of the request's remaining time.
 
     >>> retry_after_s(11.0, 10.0, left_s=5.0)
     1.0
--- a/src/quetzaldyke/gateway/watch.py
+++ b/src/quetzaldyke/gateway/watch.py
@@ -1,4 +1,4 @@
-"""Follows a prefix of the store: a list first, then every change after it."""
+"""Watches a key prefix of the store: a snapshot, then all later changes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,8 @@
     WatchedChange,
 )
 
-# A watch on a silent connection is noticed after this and the call's slack.
+# Longest wait of one watch call. A dead connection is detected after this plus
+# the slack of the call's timeout.
 WATCH_WAIT_S: Final = 2.0
 RETRY: Final = BackoffOptions(base_s=0.1, cap_s=0.5)
 
@@ -28,23 +29,23 @@
 
 @dataclass(slots=True)
 class PrefixWatcher:
-    """One followed prefix."""
+    """Watches one key prefix and passes its changes to callbacks."""
 
     store: TransactionalStore
     prefix: str
     on_snapshot: OnSnapshot
     on_changes: OnChanges
     wait_s: float = WATCH_WAIT_S
-    # Time to gather changes before the next call.
+    # Returns the delay before the next call, in which changes accumulate.
     poll_delay_s: Callable[[], float] = float
-    # Everything up to this revision was seen; None before the first list.
+    # All changes up to this revision were seen; None before the first snapshot.
     revision: int | None = None
     failures: int = 0
-    # Told after each call that succeeded.
+    # Called after each successful call.
     on_success: Callable[[], None] = lambda: None
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Watch until cancelled, with a backoff after failed calls."""
         while True:
             if await self.poll():
                 self.failures = 0
@@ -55,7 +56,11 @@
             await anyio.sleep(pause_s(RETRY, self.failures, random.uniform))
 
     async def poll(self) -> bool:
-        """Make one call; tell whether it succeeded."""
+        """Make one call to the store; return whether it succeeded.
+
+        If the store has compacted the needed history, the next call loads a
+        new snapshot.
+        """
         if self.revision is None:
             return await self.load_snapshot()
         answer = await self.store.watch(
@@ -76,7 +81,10 @@
         return True
 
     async def load_snapshot(self) -> bool:
-        """Read all keys; changes are followed from there."""
+        """Read all keys; return whether it succeeded.
+
+        Later calls watch for changes from the snapshot's revision.
+        """
         answer = await self.store.list_prefix(self.prefix)
         if isinstance(answer, Err):
             return False
--- a/tests/test_gateway_routing.py
+++ b/tests/test_gateway_routing.py
@@ -1,4 +1,4 @@
-"""Tests of routes, endpoints, loads and the choice of an endpoint."""
+"""Tests of the route table, endpoint table, load table and placement."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 from quetzaldyke.gateway.wait_queue import QueuedRequest
 
 
-def table_of(*prefixes: str) -> RouteTable:
-    """Return a table of routes of one host."""
+def make_route_table(*prefixes: str) -> RouteTable:
+    """Return a route table with one route per prefix, all of one host."""
     routes = tuple(
         replace(make_route(), name=prefix, prefix=prefix) for prefix in prefixes
     )
@@ -51,18 +51,18 @@
     ],
 )
 def test_longest_prefix(path: str, expected: str | None) -> None:
-    """Guards against a request that goes to the route of a shorter prefix."""
-    found = table_of('/a/', '/a/b/').find('h.example', path)
+    """Guards against matching the route of a shorter prefix."""
+    found = make_route_table('/a/', '/a/b/').find('h.example', path)
     assert (found.name if found else None) == expected
 
 
 def test_other_host_has_no_route() -> None:
-    """Guards against routes that leak to another host."""
-    assert table_of('/a/').find('other.example', '/a/x') is None
+    """Guards against matching a route of another host."""
+    assert make_route_table('/a/').find('other.example', '/a/x') is None
 
 
 def test_split_follows_weights() -> None:
-    """Guards against a share of 10 in 100 that gets half of the requests."""
+    """Guards against a split that ignores weights: 10 of 100 getting half."""
     route = replace(
         make_route(),
         services=(WeightedService('x', 90), WeightedService('y', 10)),
@@ -73,15 +73,15 @@
 
 
 def test_no_new_work_for_a_draining_endpoint() -> None:
-    """Guards against requests that reach an endpoint after it drains."""
+    """Guards against new requests to an endpoint that is draining."""
     table = EndpointTable()
     table.put(make_endpoint('e1'))
     table.put(make_endpoint('e1', state='draining'))
     assert not table.usable('lm', 0.0)
 
 
-def test_entry_that_lapsed_in_an_outage_stays_usable() -> None:
-    """Guards against losing every endpoint when the list itself was away."""
+def test_endpoint_lapsed_in_an_outage_stays_usable() -> None:
+    """Guards against losing all endpoints in an outage of the list itself."""
     table = EndpointTable()
     table.put(make_endpoint('e1'))
     table.outage_began()
@@ -91,8 +91,8 @@
     assert table.usable('lm', 2.0)
 
 
-def test_entry_that_stays_away_after_an_outage_is_gone() -> None:
-    """Guards against endpoints that died in an outage and get work for ever."""
+def test_endpoint_lapsed_after_an_outage_is_removed() -> None:
+    """Guards against endless use of an endpoint that died in an outage."""
     table = EndpointTable()
     table.put(make_endpoint('e1'))
     table.outage_began()
@@ -102,8 +102,8 @@
     assert not table.usable('lm', 5.0)
 
 
-def test_lapsed_entry_is_not_used_past_its_time() -> None:
-    """Guards against work for a gone endpoint until the next clean-up."""
+def test_lapsed_endpoint_is_not_used_past_the_grace_period() -> None:
+    """Guards against use of a removed endpoint until the next clean-up."""
     table = EndpointTable()
     table.put(make_endpoint('e1'))
     table.outage_began()
@@ -113,8 +113,8 @@
     assert not table.usable('lm', 2.0 + LAPSE_GRACE_S)
 
 
-def test_peers_that_left_are_forgotten() -> None:
-    """Guards against a table that grows with every restart of an entry."""
+def test_peer_paths_of_departed_peers_are_removed() -> None:
+    """Guards against a path table that grows with each restart of an entry."""
     path = StorePath(('s', 1))
     path.note_peer('old', ('p', 1), store_up_s=1.0, now_s=0.0)
     path.note_peer('new', ('p', 2), store_up_s=1.0, now_s=PEER_RETENTION_S)
@@ -123,10 +123,11 @@
 
 
 def test_removal_counts_when_only_this_entry_lost_the_store() -> None:
-    """Guards against a paused entry that takes a removal for a lapse.
+    """Guards against treating a removal as a lapse after a local pause.
 
-    Found by a hunted day: an entry that was frozen for a second saw its
-    calls time out, and kept sending to an endpoint that had left.
+    Found by a soak test with random faults: an entry that was frozen for a
+    second saw its calls to the store time out, assumed an outage of the
+    store, and kept sending requests to an endpoint that had been removed.
     """
     path = StorePath(('s', 1))
     path.note_peer('p', ('p', 2), store_up_s=60.0, now_s=9.9)
@@ -138,8 +139,8 @@
     assert table.remove('e1', 10.1)
 
 
-def test_outage_of_all_entries_is_one_of_the_store() -> None:
-    """Guards against losing all endpoints in a real outage."""
+def test_outage_at_all_entries_is_a_store_outage() -> None:
+    """Guards against losing all endpoints in an outage of the store."""
     path = StorePath(('s', 1))
     path.note_peer('p', ('p', 2), store_up_s=0.3, now_s=9.9)
     assert not path.any_peer_up_since(since_s=9.0, now_s=10.0)
@@ -147,15 +148,15 @@
     assert not path.any_peer_up_since(since_s=9.0, now_s=10.0)
 
 
-def test_removal_in_calm_times_counts_at_once() -> None:
-    """Guards against work for an endpoint that left without draining."""
+def test_removal_without_outage_takes_effect_at_once() -> None:
+    """Guards against use of an endpoint that was removed without draining."""
     table = EndpointTable()
     table.put(make_endpoint('e1'))
     assert table.remove('e1', 50.0)
 
 
-def test_failed_endpoint_is_eject_for_longer_each_time() -> None:
-    """Guards against a dark endpoint that keeps getting its full share."""
+def test_failed_endpoint_is_ejected_for_longer_each_time() -> None:
+    """Guards against a full share of requests for an unresponsive endpoint."""
     table = EndpointTable()
     table.put(make_endpoint('e1'))
     table.put(make_endpoint('e2'))
@@ -165,16 +166,16 @@
     assert [one.endpoint_id for one in table.usable('lm', 20.1)] == ['e2']
 
 
-def test_all_eject_are_used_all_the_same() -> None:
-    """Guards against this entry's own cut stopping a whole service."""
+def test_ejected_endpoints_are_used_if_there_is_no_other() -> None:
+    """Guards against a network fault of this entry stopping a whole service."""
     table = EndpointTable()
     table.put(make_endpoint('e1'))
     table.note_failure('e1', 1.0)
     assert table.usable('lm', 1.1)
 
 
-def test_request_that_runs_once_avoids_unproved_endpoints() -> None:
-    """Guards against unrepeatable requests that probe a dark endpoint."""
+def test_non_idempotent_request_avoids_failing_endpoints() -> None:
+    """Guards against non-idempotent requests that probe a failed endpoint."""
     table = EndpointTable()
     table.put(make_endpoint('e1'))
     table.put(make_endpoint('e2'))
@@ -185,8 +186,8 @@
     assert len(table.usable('lm', 60.0, avoid_failing=True)) == 2
 
 
-def test_endpoint_back_under_its_id_starts_anew() -> None:
-    """Guards against failures of an earlier life that stick to an id."""
+def test_restarted_endpoint_starts_without_failures() -> None:
+    """Guards against failures that outlive a restart under the same id."""
     table = EndpointTable()
     table.put(make_endpoint('e1', started_ms=1))
     table.put(make_endpoint('e2'))
@@ -195,8 +196,8 @@
     assert len(table.usable('lm', 1.1)) == 2
 
 
-def test_silent_peers_are_forgotten() -> None:
-    """Guards against slots that a dead entry seems to use for ever."""
+def test_load_reports_of_silent_peers_expire() -> None:
+    """Guards against slots that stay counted as used by a dead entry."""
     loads = LoadTable()
     loads.apply_report(
         'p', {'e1': RequestCounts(2, 1)}, {'lm': 3}, 4, now_s=1.0
@@ -213,7 +214,7 @@
 
 
 def test_free_slot_in_the_own_domain_first() -> None:
-    """Guards against bytes that cross failure domains without need."""
+    """Guards against needless traffic between failure domains."""
     near = make_endpoint('near', failure_domain='a')
     far = make_endpoint('far', failure_domain='b')
     chosen = policy_of(LoadTable()).choose([far, near], 0)
@@ -221,8 +222,8 @@
     assert chosen.endpoint.endpoint_id == 'near'
 
 
-def test_free_slot_elsewhere_before_a_full_one_here() -> None:
-    """Guards against a line at home while another domain is idle."""
+def test_remote_free_slot_before_a_full_local_endpoint() -> None:
+    """Guards against queueing locally while another domain has free slots."""
     loads = LoadTable()
     use(loads, 'near', online=4, batch=0)
     near = make_endpoint('near', failure_domain='a')
@@ -232,7 +233,7 @@
     assert chosen.endpoint.endpoint_id == 'far'
 
 
-def test_batch_yields_in_a_burst() -> None:
+def test_batch_run_is_preempted_in_a_burst() -> None:
     """Guards against online requests that wait behind batch runs."""
     loads = LoadTable()
     use(loads, 'e1', online=1, batch=3)
@@ -244,8 +245,8 @@
     assert chosen.endpoint.endpoint_id == 'e1'
 
 
-def test_full_of_online_requests_means_waiting() -> None:
-    """Guards against unbounded queues in the engines."""
+def test_no_placement_when_online_requests_fill_all_slots() -> None:
+    """Guards against unbounded queues at the engines."""
     loads = LoadTable()
     use(loads, 'e1', online=5, batch=0)
     assert policy_of(loads).choose([make_endpoint('e1')], 1) is None
@@ -259,11 +260,11 @@
     ),
     st.integers(0, 2),
 )
-def test_choice_never_exceeds_what_is_allowed(
+def test_placement_never_exceeds_the_queue_limit(
     used: list[tuple[int, int]],
     max_queued: int,
 ) -> None:
-    """Guards against a choice that overfills while others are free."""
+    """Guards against overloading an endpoint while others have free slots."""
     loads = LoadTable()
     endpoints = []
     for number, (online, batch) in enumerate(used):
@@ -272,7 +273,7 @@
     chosen = policy_of(loads).choose(endpoints, max_queued)
     has_free = any(sum(row) < 4 for row in used)
     if chosen is None:
-        # Nothing may be left that could have taken it.
+        # No endpoint may have had capacity for the request.
         assert all(row[0] >= 4 + max_queued for row in used)
         assert not has_free
         return
@@ -281,8 +282,8 @@
     assert has_free == (taken.total < 4)
 
 
-def test_line_is_served_when_a_peer_frees_a_slot() -> None:
-    """Guards against requests that wait for a timer while slots are free."""
+def test_queue_is_served_when_a_peer_frees_a_slot() -> None:
+    """Guards against requests queued until the next tick with slots free."""
     time = FakeTime()
     dispatcher = make_dispatcher(time, make_endpoint('e1'))
     dispatcher.loads.apply_report(
@@ -304,8 +305,8 @@
     assert started == ['r']
 
 
-def test_release_counts_down_once() -> None:
-    """Guards against slots that are given back twice and lose count."""
+def test_second_release_has_no_effect() -> None:
+    """Guards against a wrong load after releasing a reservation twice."""
     time = FakeTime()
     dispatcher = make_dispatcher(time, make_endpoint('e1'))
     reservation = dispatcher.try_acquire('lm')
--- a/tests/test_gateway_waiting.py
+++ b/tests/test_gateway_waiting.py
@@ -1,4 +1,4 @@
-"""Tests of the waiting line: bursts, refusals and returning callers."""
+"""Tests of the wait queue: bursts, refusals and retries of callers."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def anyio_backend() -> str:
-    """Run on the backend that the processes use."""
+    """Return the backend that the processes use."""
     return 'asyncio'
 
 
@@ -33,12 +33,15 @@
     priority: int = 0,
     latest_on_time_start_s: float = 10.0,
     latest_start_s: float = 20.0,
-    room: int = 100,
+    capacity: int = 100,
 ) -> QueuedRequest:
-    """Return a waiter that notes its start while there is room."""
+    """Return a request that appends its name when started or refused.
+
+    It starts only while fewer than `capacity` names are recorded.
+    """
 
     def try_start() -> bool:
-        if len(started) >= room:
+        if len(started) >= capacity:
             return False
         started.append(name)
         return True
@@ -52,8 +55,8 @@
     )
 
 
-def test_urgent_first_then_order_of_arrival() -> None:
-    """Guards against a less urgent request that is served first."""
+def test_order_is_by_priority_then_arrival() -> None:
+    """Guards against serving a less urgent request first."""
     started: list[str] = []
     queue = WaitQueue()
     queue.add(make_queued_request(started, 'low', priority=2))
@@ -63,8 +66,8 @@
     assert started == ['first', 'second', 'low']
 
 
-def test_those_that_can_be_on_time_go_first() -> None:
-    """Guards against a burst that makes every request late."""
+def test_requests_that_can_meet_their_objective_go_first() -> None:
+    """Guards against serving late requests first, which delays all others."""
     started: list[str] = []
     queue = WaitQueue()
     queue.add(make_queued_request(started, 'late', latest_on_time_start_s=0.5))
@@ -75,18 +78,18 @@
     assert started == ['timely', 'late']
 
 
-def test_line_keeps_those_without_room() -> None:
-    """Guards against requests that are dropped when slots run out."""
+def test_queue_keeps_requests_that_found_no_capacity() -> None:
+    """Guards against dropping queued requests when slots run out."""
     started: list[str] = []
     queue = WaitQueue()
     for name in ('a', 'b', 'c'):
-        queue.add(make_queued_request(started, name, room=2))
+        queue.add(make_queued_request(started, name, capacity=2))
     queue.serve(1.0)
     assert (started, len(queue)) == (['a', 'b'], 1)
 
 
-def test_late_requests_are_refused_not_forgotten() -> None:
-    """Guards against callers that are never told that they were given up."""
+def test_expired_requests_are_refused() -> None:
+    """Guards against removing a request without a response to its caller."""
     started: list[str] = []
     queue = WaitQueue()
     queue.add(make_queued_request(started, 'a', latest_start_s=2.0))
@@ -95,8 +98,8 @@
 
 
 @given(st.integers(1, 60))
-def test_refused_callers_return_one_after_the_other(refused: int) -> None:
-    """Guards against a stampede of callers told the same time."""
+def test_retry_times_of_refused_callers_are_spaced(refused: int) -> None:
+    """Guards against a retry storm of callers given the same retry time."""
     queue = WaitQueue()
     times = [queue.next_retry_s(0.0, own_slots=10.0) for _ in range(refused)]
     pace_s = queue.mean_hold_s / 5.0
@@ -111,18 +114,20 @@
     st.floats(0.05, 1),
     st.floats(0.1, 5),
 )
-def test_longer_waits_are_never_preferred(
+def test_a_shorter_wait_is_always_accepted_too(
     expected_s: float,
     target_s: float,
     left_s: float,
 ) -> None:
-    """Guards against a rule that accepts a long wait and refuses a short."""
+    """Guards against accepting a long wait but refusing a shorter one."""
     if may_wait(expected_s, target_s, left_s, 5.0):
         assert may_wait(expected_s / 2, target_s, left_s, 5.0)
 
 
-async def test_new_caller_is_refused_at_once_when_the_line_is_long() -> None:
-    """Guards against callers held until their objective is lost."""
+async def test_first_attempt_is_refused_at_once_when_the_queue_is_long() -> (
+    None
+):
+    """Guards against queueing requests that will miss their objective."""
     time = FakeTime()
     dispatcher = make_dispatcher(time, make_endpoint('e1'))
     use(dispatcher.loads, 'e1', online=9, batch=0)
@@ -133,8 +138,8 @@
     assert placed.err_value.retry_after_s > 0
 
 
-def test_queues_of_engines_count_as_a_wait() -> None:
-    """Guards against callers kept for a slot that comes too late."""
+def test_engine_queues_count_towards_the_expected_wait() -> None:
+    """Guards against a wait estimate that ignores queues at the engines."""
     time = FakeTime()
     dispatcher = make_dispatcher(time, make_endpoint('e1'))
     use(dispatcher.loads, 'e1', online=4, batch=3)
@@ -143,27 +148,27 @@
     assert dispatcher.expected_wait_s('lm') == pytest.approx(3 * without)
 
 
-async def check_wait_for_release(left_s: float, *, sent_before: bool) -> None:
-    """Check that a request waits at a full endpoint until a slot is freed."""
+async def check_wait_for_release(left_s: float, *, already_sent: bool) -> None:
+    """Check that a request waits until a slot of the full endpoint is free."""
     time = FakeTime()
     dispatcher = make_dispatcher(time, make_endpoint('e1'))
     holders = [dispatcher.try_acquire('lm') for _ in range(5)]
     dispatcher.loads.apply_report('p', {}, {'lm': 4}, 0, time.now_s)
     placed = []
 
-    async def ask() -> None:
+    async def acquire() -> None:
         placed.append(
             await dispatcher.acquire(
                 'lm',
                 make_route(),
                 time.now_s + left_s,
                 (),
-                sent_before=sent_before,
+                already_sent=already_sent,
             ),
         )
 
     async with anyio.create_task_group() as group:
-        group.start_soon(ask)
+        group.start_soon(acquire)
         await anyio.wait_all_tasks_blocked()
         assert not placed
         assert holders[0] is not None
@@ -171,18 +176,18 @@
     assert isinstance(placed[0], Ok)
 
 
-async def test_returning_caller_waits_for_a_slot() -> None:
-    """Guards against callers that are sent away a second time."""
-    await check_wait_for_release(3.0, sent_before=False)
+async def test_retry_of_a_caller_waits_for_a_slot() -> None:
+    """Guards against refusing a caller a second time."""
+    await check_wait_for_release(3.0, already_sent=False)
 
 
 async def test_request_that_was_sent_before_waits_for_a_slot() -> None:
     """Guards against a request lost because its retry found no slot."""
-    await check_wait_for_release(5.0, sent_before=True)
+    await check_wait_for_release(5.0, already_sent=True)
 
 
-async def test_cancelled_waiter_gives_its_place_back() -> None:
-    """Guards against slots that leak when a caller leaves the line."""
+async def test_cancelled_request_leaks_no_reservation() -> None:
+    """Guards against slots that leak when a caller cancels in the queue."""
     time = FakeTime()
     dispatcher = make_dispatcher(time, make_endpoint('e1'))
     holders = [dispatcher.try_acquire('lm') for _ in range(5)]
@@ -195,7 +200,7 @@
 
 
 async def test_service_without_endpoints_is_refused_at_once() -> None:
-    """Guards against requests that wait for endpoints that are not there."""
+    """Guards against queueing requests for a service without endpoints."""
     time = FakeTime()
     dispatcher = make_dispatcher(time)
     placed = await dispatcher.acquire('lm', make_route(), time.now_s + 5, ())
