--- a/src/quetzaldyke/gateway/attempt.py
+++ b/src/quetzaldyke/gateway/attempt.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from quetzaldyke.gateway.dispatcher import Place
+from quetzaldyke.gateway.dispatcher import Reservation
 from quetzaldyke.gateway.event_stream import StreamOrderError
 from quetzaldyke.gateway.exchange import (
     Exchange,
@@ -83,13 +83,13 @@
     request: OnlineRequest
     caller: Caller
     progress: Progress
-    place: Place
+    reservation: Reservation
     exchange: Exchange
 
     @property
     def endpoint_id(self) -> str:
         """Return the id of the endpoint that serves this attempt."""
-        return self.place.endpoint.endpoint_id
+        return self.reservation.endpoint.endpoint_id
 
     async def run(self) -> Outcome | None:
         """Send the request and forward the response.
@@ -115,7 +115,7 @@
 
         Raises `ExchangeError` if it can't be sent or no head arrives.
         """
-        endpoint = self.place.endpoint
+        endpoint = self.reservation.endpoint
         idempotent = self.request.route.idempotent
         await self.context.client.start(
             endpoint.host,
@@ -128,7 +128,7 @@
         self.context.client.active.add(self.exchange)
         self.exchange.expires_at_s = head_deadline_s(
             self.request,
-            self.place,
+            self.reservation,
             self.progress.attempts,
             self.context.now(),
         )
@@ -141,10 +141,12 @@
         if self.progress.event_chunks or now_s >= self.request.deadline_s:
             return 0.0
         silence_timeout_s = first_event_timeout_s(
-            self.request.route, self.place
+            self.request.route, self.reservation
+        )
+        endpoints = self.context.dispatcher.endpoints
+        return extended_deadline_s(
+            endpoints, self.reservation, silence_timeout_s, now_s
         )
-        book = self.context.dispatcher.book
-        return extended_deadline_s(book, self.place, silence_timeout_s, now_s)
 
     def encode(self) -> bytes:
         """Return the bytes of the request that is sent to the endpoint."""
@@ -195,7 +197,7 @@
 
     def note_served(self) -> None:
         """Record a success, which also clears the request of crashes."""
-        self.context.dispatcher.book.note_success(self.endpoint_id)
+        self.context.dispatcher.endpoints.note_success(self.endpoint_id)
         self.context.crashes.note_served(self.request.fingerprint())
 
     def eject_unless_serving(self, exc: ExchangeError) -> float:
@@ -205,21 +207,21 @@
         others counts as a lost response, which ejects it only if many are
         lost. Returns the ejection time in seconds, 0 for none.
         """
-        book = self.context.dispatcher.book
+        endpoints = self.context.dispatcher.endpoints
         now_s = self.context.now()
         if exc.failure is Failure.STALLED:
-            since_s = self.place.taken_s
+            since_s = self.reservation.taken_s
         elif exc.failure is Failure.BROKEN:
             since_s = now_s - RECENTLY_SERVING_S
         else:
             return self.eject()
-        if book.sent_since(self.endpoint_id, since_s):
-            return book.note_lost_answer(self.endpoint_id, now_s)
+        if endpoints.sent_since(self.endpoint_id, since_s):
+            return endpoints.note_lost_answer(self.endpoint_id, now_s)
         return self.eject()
 
     def eject(self) -> float:
         """Eject the endpoint; return for how many seconds."""
-        return self.context.dispatcher.book.note_failure(
+        return self.context.dispatcher.endpoints.note_failure(
             self.endpoint_id,
             self.context.now(),
         )
@@ -234,7 +236,7 @@
             attempts=self.progress.attempts,
             last_event=self.progress.splitter.last_id,
             waited_ms=int(
-                (self.context.now() - self.place.taken_s) * MS_IN_S,
+                (self.context.now() - self.reservation.taken_s) * MS_IN_S,
             ),
             running=self.progress.running,
             ejected_s=ejected_s,
@@ -341,7 +343,8 @@
             deadline_s = min(deadline_s, now_s + next_event_timeout_s(route))
         elif may_resume:
             deadline_s = min(
-                deadline_s, now_s + first_event_timeout_s(route, self.place)
+                deadline_s,
+                now_s + first_event_timeout_s(route, self.reservation),
             )
         self.exchange.expires_at_s = deadline_s
         chunk = await self.exchange.read_chunk()
@@ -352,7 +355,7 @@
         except StreamOrderError as exc:
             raise ExchangeError(Failure.MALFORMED, str(exc)) from exc
         now_s = self.context.now()
-        self.context.dispatcher.book.note_bytes(self.endpoint_id, now_s)
+        self.context.dispatcher.endpoints.note_bytes(self.endpoint_id, now_s)
         if events:
             self.progress.note_events(now_s)
             await self.caller.send(events)
--- a/src/quetzaldyke/gateway/batch_schedule.py
+++ b/src/quetzaldyke/gateway/batch_schedule.py
@@ -215,7 +215,7 @@
 
         Only the entry with the most batch runs there preempts any.
         """
-        own = self.loads.own_of(endpoint_id).batch
+        own = self.loads.own_counts(endpoint_id).batch
         excess = self.loads.total(endpoint_id) - slots
         if excess <= 0 or not own:
             return 0
--- a/src/quetzaldyke/gateway/dispatcher.py
+++ b/src/quetzaldyke/gateway/dispatcher.py
@@ -1,4 +1,8 @@
-"""Hands out places on endpoints to online requests and batch runs."""
+"""Reserves endpoint capacity for online requests and batch runs.
+
+A request that finds no capacity waits in the queue of its service, or is
+refused with the time at which to retry.
+"""
 
 from __future__ import annotations
 
@@ -11,37 +15,38 @@
 
 from result import Err, Ok, Result
 
-from quetzaldyke.gateway.endpoints import EndpointBook
-from quetzaldyke.gateway.loads import LoadTable, Running
+from quetzaldyke.gateway.endpoints import EndpointTable
+from quetzaldyke.gateway.loads import LoadTable, RequestCounts
 from quetzaldyke.gateway.model import Endpoint, Route
 from quetzaldyke.gateway.placement import (
     QUEUED_PER_ENGINE,
     QUEUED_PER_SERVICE,
     PlacementPolicy,
 )
-from quetzaldyke.gateway.waiting_line import (
-    FIRST_EVENT_S,
-    WAIT_SHARE,
-    Waiter,
-    WaitingLine,
+from quetzaldyke.gateway.wait_queue import (
+    FIRST_EVENT_LATENCY_S,
+    MAX_WAIT_SHARE,
+    QueuedRequest,
+    WaitQueue,
     may_wait,
-    patience_s,
+    max_queue_time_s,
     retry_after_s,
 )
 from quetzaldyke.parts.timers import Clock
 
-# Told to callers of a service that has no endpoint at the moment.
+# Retry delay for callers of a service that has no usable endpoint.
 NO_ENDPOINT_RETRY_S: Final = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Why a request got no place, and when to come back."""
+    """Why a request was refused, and when the caller should retry."""
 
     reason: str
     retry_after_s: float
-    # What decided it: the wait for a slot, the requests that wait here and
-    # at the other entries, and the slots of the service.
+    # Inputs of the decision, for the log: the expected wait for a slot, the
+    # requests queued here and at the other entries, and the slots of the
+    # service.
     expected_wait_s: float = 0.0
     waiting: int = 0
     waiting_elsewhere: int = 0
@@ -49,185 +54,201 @@
 
 
 @dataclass(slots=True)
-class Place:
-    """A place that a request holds on an endpoint."""
+class Reservation:
+    """Capacity that one request or batch run occupies on an endpoint."""
 
     endpoint: Endpoint
     online: bool
     taken_s: float
-    # Whether the endpoint had no free slot when the place was taken.
+    # Whether the endpoint had no free slot at the time of the reservation, so
+    # that the request waits in the endpoint's own queue.
     queued: bool
     released: bool = False
 
 
 @dataclass(slots=True)
 class Dispatcher:
-    """Places, loads and the waiting lines of all services."""
+    """Assigns requests to endpoints and keeps one wait queue per service."""
 
-    book: EndpointBook
+    endpoints: EndpointTable
     loads: LoadTable
     policy: PlacementPolicy
     clock: Clock
     generator: random.Random
-    # Whether the endpoints of a service are engines.
+    # Returns whether the endpoints of a service are model engines.
     is_engine: Callable[[str], bool]
-    # Entries that share the endpoints.
+    # Returns the number of entries that share the endpoints.
     count_entries: Callable[[], int] = lambda: 1
-    # Asks for batch work to leave an endpoint.
+    # Requests that a batch run be preempted on an endpoint.
     preempt_batch: Callable[[Endpoint], None] = lambda endpoint: None
-    # Told when the own counts of an endpoint changed.
+    # Called when this entry's request counts of an endpoint change.
     on_change: Callable[[str], None] = lambda endpoint_id: None
-    lines: dict[str, WaitingLine] = field(default_factory=dict)
+    queues: dict[str, WaitQueue] = field(default_factory=dict)
 
-    def line(self, service: str) -> WaitingLine:
-        """Return the waiting line of a service."""
-        known = self.lines.get(service)
+    def queue(self, service: str) -> WaitQueue:
+        """Return the wait queue of a service; create it on first use."""
+        known = self.queues.get(service)
         if known is None:
-            known = self.lines[service] = WaitingLine()
+            known = self.queues[service] = WaitQueue()
         return known
 
-    def try_place(
+    def try_acquire(
         self,
         service: str,
         excluded: Collection[str] = (),
         *,
-        careful: bool = False,
-    ) -> Place | None:
-        """Take a place for an online request if there is one."""
+        avoid_failing: bool = False,
+    ) -> Reservation | None:
+        """Reserve capacity for an online request without waiting.
+
+        Returns None when no endpoint has capacity. Requests the preemption
+        of a batch run when the chosen slot is held by batch work.
+        """
         engine = self.is_engine(service)
         choice = self.policy.choose(
-            self.book.usable(
+            self.endpoints.usable(
                 service,
                 self.clock.now(),
                 excluded,
-                careful=careful,
+                avoid_failing=avoid_failing,
             ),
             QUEUED_PER_ENGINE if engine else QUEUED_PER_SERVICE,
         )
         if choice is None:
             return None
-        place = self.take(choice.endpoint, online=True)
-        if choice.yield_batch:
+        reservation = self.acquire_on(choice.endpoint, online=True)
+        if choice.preempt_batch:
             self.preempt_batch(choice.endpoint)
-        return place
+        return reservation
 
-    def take(self, endpoint: Endpoint, *, online: bool) -> Place:
-        """Count a request on an endpoint."""
-        running = self.loads.own_of(endpoint.endpoint_id)
+    def acquire_on(self, endpoint: Endpoint, *, online: bool) -> Reservation:
+        """Reserve capacity on a given endpoint, without checking its load."""
+        counts = self.loads.own_counts(endpoint.endpoint_id)
         if online:
-            running.online += 1
+            counts.online += 1
         else:
-            running.batch += 1
+            counts.batch += 1
         self.on_change(endpoint.endpoint_id)
         queued = self.loads.total(endpoint.endpoint_id) > endpoint.slots
-        return Place(endpoint, online, self.clock.now(), queued)
+        return Reservation(endpoint, online, self.clock.now(), queued)
 
-    def release(self, place: Place) -> None:
-        """Give a place back and serve those that wait."""
-        if place.released:
+    def release(self, reservation: Reservation) -> None:
+        """Release a reservation and start queued requests.
+
+        Releasing a reservation a second time has no effect.
+        """
+        if reservation.released:
             return
-        place.released = True
-        running = self.loads.own_of(place.endpoint.endpoint_id)
-        service = place.endpoint.service
-        if place.online:
-            running.online -= 1
-            held_s = self.clock.now() - place.taken_s
-            self.line(service).note_hold(held_s)
+        reservation.released = True
+        counts = self.loads.own_counts(reservation.endpoint.endpoint_id)
+        service = reservation.endpoint.service
+        if reservation.online:
+            counts.online -= 1
+            held_s = self.clock.now() - reservation.taken_s
+            self.queue(service).record_hold(held_s)
         else:
-            running.batch -= 1
-        self.on_change(place.endpoint.endpoint_id)
-        self.line(service).serve(self.clock.now())
+            counts.batch -= 1
+        self.on_change(reservation.endpoint.endpoint_id)
+        self.queue(service).serve(self.clock.now())
 
-    async def place(
+    async def acquire(
         self,
         service: str,
         route: Route,
         deadline_s: float,
         excluded: Collection[str],
         *,
-        sent_before: bool = False,
-    ) -> Result[Place, Refusal]:
-        """Take a place, wait for one, or refuse.
+        already_sent: bool = False,
+    ) -> Result[Reservation, Refusal]:
+        """Reserve capacity for an online request, waiting if necessary.
 
-        A request that an endpoint had before waits like a caller that has
-        come back: it may have run, so it could not be refused truly.
+        Fails with a refusal when the service has no usable endpoint, when
+        the expected wait is too long, or when no slot became free in time.
+
+        A request that was already sent to an endpoint is queued under the
+        longer limit of retrying callers: it may have been executed, so
+        telling its caller that it was refused could be wrong.
         """
         now_s = self.clock.now()
-        if not self.book.usable(service, now_s):
+        if not self.endpoints.usable(service, now_s):
             return Err(Refusal('no_endpoint', NO_ENDPOINT_RETRY_S))
-        if not len(self.line(service)):
-            place = self.try_place(
+        if not len(self.queue(service)):
+            reservation = self.try_acquire(
                 service,
                 excluded,
-                careful=not route.idempotent,
+                avoid_failing=not route.idempotent,
             )
-            if place is not None:
-                return Ok(place)
+            if reservation is not None:
+                return Ok(reservation)
         left_s = deadline_s - now_s
         expected_s = self.expected_wait_s(service)
-        full_s = math.inf if sent_before else route.timeout_s
+        full_s = math.inf if already_sent else route.timeout_s
         if not may_wait(expected_s, route.target_s, left_s, full_s):
             return Err(self.refusal('no_slot_in_time', service, left_s))
-        return await self.wait_in_line(service, route, deadline_s, excluded)
+        return await self.wait_in_queue(service, route, deadline_s, excluded)
 
     def refusal(self, reason: str, service: str, left_s: float) -> Refusal:
-        """Return a refusal with the time to come back."""
+        """Return a refusal with a retry time reserved for this caller."""
         now_s = self.clock.now()
-        usable = self.book.usable(service, now_s)
+        usable = self.endpoints.usable(service, now_s)
         slots = sum(one.slots for one in usable)
-        line = self.line(service)
-        return_s = line.next_return_s(now_s, slots / self.count_entries())
+        queue = self.queue(service)
+        retry_at_s = queue.next_retry_s(now_s, slots / self.count_entries())
         return Refusal(
             reason,
-            retry_after_s(return_s, now_s, left_s),
+            retry_after_s(retry_at_s, now_s, left_s),
             self.expected_wait_s(service),
-            len(line),
+            len(queue),
             self.loads.waiting_elsewhere(service),
             slots,
         )
 
     def expected_wait_s(self, service: str) -> float:
-        """Return how long one more online request would wait.
+        """Return the expected wait of one more online request.
 
-        Those that wait in the engines' own queues are ahead of it too.
+        Requests in the endpoints' own queues and at other entries are
+        ahead of it too.
         """
-        usable = self.book.usable(service, self.clock.now())
+        usable = self.endpoints.usable(service, self.clock.now())
         queued = sum(
             max(0, self.loads.online(one.endpoint_id) - one.slots)
             for one in usable
         )
-        return self.line(service).expected_wait_s(
+        return self.queue(service).expected_wait_s(
             sum(one.slots for one in usable),
             queued + self.loads.waiting_elsewhere(service),
         )
 
     def waiting(self) -> dict[str, int]:
-        """Return how many wait by service."""
-        return {key: len(line) for key, line in self.lines.items() if line}
+        """Return the number of queued requests by service, without zeros."""
+        return {key: len(queue) for key, queue in self.queues.items() if queue}
 
-    async def wait_in_line(
+    async def wait_in_queue(
         self,
         service: str,
         route: Route,
         deadline_s: float,
         excluded: Collection[str],
-    ) -> Result[Place, Refusal]:
-        """Wait until a place is free or the time is over."""
-        outcome: asyncio.Future[Place | None] = (
+    ) -> Result[Reservation, Refusal]:
+        """Wait in the queue until capacity is free or the wait limit passes.
+
+        A reservation made while the caller cancels is released again.
+        """
+        outcome: asyncio.Future[Reservation | None] = (
             asyncio.get_running_loop().create_future()
         )
 
         def try_start() -> bool:
             if outcome.done():
                 return True
-            place = self.try_place(
+            reservation = self.try_acquire(
                 service,
                 excluded,
-                careful=not route.idempotent,
+                avoid_failing=not route.idempotent,
             )
-            if place is not None:
-                outcome.set_result(place)
-            return place is not None
+            if reservation is not None:
+                outcome.set_result(reservation)
+            return reservation is not None
 
         def refuse() -> None:
             if not outcome.done():
@@ -235,52 +256,56 @@
 
         now_s = self.clock.now()
         longest_s = min(
-            patience_s(route.target_s, route.max_gap_s),
-            WAIT_SHARE * (deadline_s - now_s),
+            max_queue_time_s(route.target_s, route.max_gap_s),
+            MAX_WAIT_SHARE * (deadline_s - now_s),
         )
-        waiter = Waiter(
+        request = QueuedRequest(
             route.priority,
-            now_s + route.target_s - FIRST_EVENT_S,
+            now_s + route.target_s - FIRST_EVENT_LATENCY_S,
             now_s + longest_s,
             try_start,
             refuse,
         )
-        self.line(service).add(waiter)
+        self.queue(service).add(request)
         try:
-            place = await outcome
+            reservation = await outcome
         except asyncio.CancelledError:
-            waiter.cancelled = True
+            request.cancelled = True
             if outcome.done() and not outcome.cancelled():
                 taken = outcome.result()
                 if taken is not None:
                     self.release(taken)
             raise
-        if place is not None:
-            return Ok(place)
+        if reservation is not None:
+            return Ok(reservation)
         left_s = deadline_s - self.clock.now()
         return Err(self.refusal('waited_too_long', service, left_s))
 
-    def take_report(
+    def apply_report(
         self,
         peer: str,
-        counts: dict[str, Running],
+        counts: dict[str, RequestCounts],
         waiting: dict[str, int],
         pending: int,
     ) -> None:
-        """Take over what a peer runs, and serve those that wait."""
+        """Store the load report of a peer and start queued requests.
+
+        `waiting` are the peer's queued online requests by service,
+        `pending` its batch items that could start.
+        """
         now_s = self.clock.now()
-        self.loads.take_report(peer, counts, waiting, pending, now_s)
-        self.serve_lines()
+        self.loads.apply_report(peer, counts, waiting, pending, now_s)
+        self.serve_queues()
 
-    def serve_lines(self) -> None:
-        """Start waiting requests where there is room."""
+    def serve_queues(self) -> None:
+        """Start the queued requests of all services that have capacity."""
         now_s = self.clock.now()
-        for line in self.lines.values():
-            line.serve(now_s)
+        for queue in self.queues.values():
+            queue.serve(now_s)
 
     async def tick(self) -> None:
-        """Serve and refuse waiting requests as time passes."""
+        """Start queued requests, and refuse those past their wait limit."""
         now_s = self.clock.now()
-        self.serve_lines()
-        for line in self.lines.values():
-            line.drop_late(now_s)
+        self.serve_queues()
+        for queue in self.queues.values():
+            queue.refuse_expired(now_s)
--- a/src/quetzaldyke/gateway/stalls.py
+++ b/src/quetzaldyke/gateway/stalls.py
@@ -10,8 +10,8 @@
 
 from typing import Final
 
-from quetzaldyke.gateway.dispatcher import Place
-from quetzaldyke.gateway.endpoints import EndpointBook
+from quetzaldyke.gateway.dispatcher import Reservation
+from quetzaldyke.gateway.endpoints import EndpointTable
 from quetzaldyke.gateway.model import Route
 from quetzaldyke.gateway.online_request import OnlineRequest
 
@@ -27,8 +27,8 @@
 
 
 def extended_deadline_s(
-    book: EndpointBook,
-    place: Place,
+    endpoints: EndpointTable,
+    reservation: Reservation,
     silence_timeout_s: float,
     now_s: float,
 ) -> float:
@@ -37,14 +37,16 @@
     An endpoint that has sent bytes to other requests meanwhile is busy, not
     unresponsive.
     """
-    if book.sent_since(place.endpoint.endpoint_id, now_s - silence_timeout_s):
-        return place.taken_s + QUEUED_TIMEOUT_S
+    if endpoints.sent_since(
+        reservation.endpoint.endpoint_id, now_s - silence_timeout_s
+    ):
+        return reservation.taken_s + QUEUED_TIMEOUT_S
     return 0.0
 
 
-def first_event_timeout_s(route: Route, place: Place) -> float:
+def first_event_timeout_s(route: Route, reservation: Reservation) -> float:
     """Return the timeout for the first event after sending a request."""
-    if place.queued:
+    if reservation.queued:
         return QUEUED_TIMEOUT_S
     return max(MIN_EVENT_TIMEOUT_S, FIRST_EVENT_SHARE * route.target_s)
 
@@ -56,7 +58,7 @@
 
 def head_deadline_s(
     request: OnlineRequest,
-    place: Place,
+    reservation: Reservation,
     attempts: int,
     now_s: float,
 ) -> float:
@@ -66,5 +68,7 @@
     if not route.idempotent or attempts >= route.max_attempts:
         return deadline_s
     if route.kind == 'stream':
-        return min(deadline_s, now_s + first_event_timeout_s(route, place))
+        return min(
+            deadline_s, now_s + first_event_timeout_s(route, reservation)
+        )
     return now_s + (deadline_s - now_s) * FIRST_ATTEMPT_SHARE
--- /dev/null
+++ b/src/quetzaldyke/gateway/wait_queue.py
@@ -0,0 +1,191 @@
+"""Queues online requests that wait for a slot, or refuses them.
+
+This handles bursts of online requests beyond the slots of a service, and the
+retry storm of callers after an outage.
+
+A new request is queued only if it can still meet its latency objective;
+otherwise it is refused at once with a retry time. Retry times are spaced at
+the rate at which slots become free, so that refused callers don't return
+together. A caller that has already retried is queued as long as it can
+afford the wait. Within a priority, requests that can still meet their
+objective are served before those that can't.
+"""
+
+from __future__ import annotations
+
+import itertools
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import Final
+
+# Time from the start of a request at an endpoint to its first event.
+FIRST_EVENT_LATENCY_S: Final = 0.1
+# Weight of the latest sample in the moving average of slot hold times.
+HOLD_WEIGHT: Final = 0.05
+DEFAULT_HOLD_S: Final = 0.5
+MIN_RETRY_AFTER_S: Final = 0.25
+# Largest retry delay, as a share of the request's remaining time: callers
+# wait for at most a third of it.
+RETRY_AFTER_SHARE: Final = 0.33
+# Share of the slots that is reserved for new requests while refused callers
+# retry.
+NEW_REQUESTS_SHARE: Final = 0.5
+# A request with at least this share of the route's timeout left is taken for
+# the caller's first attempt, one with less for a retry.
+FIRST_TRY_SHARE: Final = 0.9
+# Callers abandon a silent stream after the longest of these: a fixed time, a
+# multiple of the latency objective, and a multiple of the longest event gap.
+MIN_CALLER_TIMEOUT_S: Final = 2.0
+CALLER_TIMEOUT_TARGETS: Final = 4.0
+CALLER_TIMEOUT_GAPS: Final = 8.0
+# Share of that time that a request may spend in the queue.
+QUEUE_TIME_SHARE: Final = 0.75
+# Share of the request's remaining time that it may spend in the queue.
+MAX_WAIT_SHARE: Final = 0.6
+
+
+@dataclass(slots=True, eq=False)
+class QueuedRequest:
+    """One request in the queue."""
+
+    priority: int
+    # Latest start that still meets the latency objective.
+    latest_on_time_start_s: float
+    # The request is refused when it has not started by then.
+    latest_start_s: float
+    # Starts the request; returns False when no endpoint has capacity.
+    try_start: Callable[[], bool]
+    # Called when the request is refused.
+    refuse: Callable[[], None]
+    arrival_number: int = 0
+    cancelled: bool = False
+
+
+@dataclass(slots=True)
+class WaitQueue:
+    """Requests of one service that wait for a slot.
+
+    Estimates waits from the mean time for which requests hold a slot.
+    """
+
+    requests: list[QueuedRequest] = field(default_factory=list)
+    arrival_numbers: itertools.count[int] = field(
+        default_factory=itertools.count
+    )
+    mean_hold_s: float = DEFAULT_HOLD_S
+    # Retry time that was given to the last refused caller.
+    last_retry_s: float = 0.0
+
+    def __len__(self) -> int:
+        """Return the number of requests that were not cancelled."""
+        return sum(not one.cancelled for one in self.requests)
+
+    def record_hold(self, hold_s: float) -> None:
+        """Add the time for which a request held its slot to the mean."""
+        self.mean_hold_s += HOLD_WEIGHT * (hold_s - self.mean_hold_s)
+
+    def expected_wait_s(self, slots: int, elsewhere: int) -> float:
+        """Return the expected wait of one more request.
+
+        `slots` counts all slots of the service, `elsewhere` the requests
+        that wait for them outside this queue.
+        """
+        return (len(self) + elsewhere + 1) * self.mean_hold_s / max(slots, 1)
+
+    def next_retry_s(self, now_s: float, own_slots: float) -> float:
+        """Allocate the time at which the next refused caller should retry.
+
+        `own_slots` is this entry's share of the slots. Each call returns a
+        later time than the one before.
+        """
+        pace_s = self.mean_hold_s / max(
+            own_slots * (1 - NEW_REQUESTS_SHARE), 1.0
+        )
+        earliest_s = now_s + MIN_RETRY_AFTER_S
+        self.last_retry_s = max(earliest_s, self.last_retry_s + pace_s)
+        return self.last_retry_s
+
+    def add(self, request: QueuedRequest) -> None:
+        """Append a request to the queue."""
+        request.arrival_number = next(self.arrival_numbers)
+        self.requests.append(request)
+
+    def serve(self, now_s: float) -> None:
+        """Start queued requests until one finds no capacity.
+
+        The order is by priority, then requests that can still meet their
+        objective, then arrival.
+        """
+        if not self.requests:
+            return
+        self.requests.sort(
+            key=lambda one: (
+                one.priority,
+                one.latest_on_time_start_s < now_s,
+                one.arrival_number,
+            ),
+        )
+        for position, request in enumerate(self.requests):
+            if not request.cancelled and not request.try_start():
+                del self.requests[:position]
+                return
+        self.requests.clear()
+
+    def refuse_expired(self, now_s: float) -> None:
+        """Refuse the requests whose latest start has passed."""
+        for request in self.requests:
+            if not request.cancelled and request.latest_start_s <= now_s:
+                request.cancelled = True
+                request.refuse()
+        self.requests = [one for one in self.requests if not one.cancelled]
+
+
+def may_wait(
+    expected_s: float,
+    target_s: float,
+    left_s: float,
+    timeout_s: float,
+) -> bool:
+    """Return whether a request may be queued instead of refused.
+
+    A first attempt must still meet its latency objective; a retry may wait
+    for a share of its remaining time.
+
+    >>> may_wait(0.1, target_s=0.3, left_s=5.0, timeout_s=5.0)
+    True
+    >>> may_wait(0.6, target_s=0.3, left_s=5.0, timeout_s=5.0)
+    False
+    >>> may_wait(0.6, target_s=0.3, left_s=3.0, timeout_s=5.0)
+    True
+    """
+    if left_s < FIRST_TRY_SHARE * timeout_s:
+        return expected_s <= MAX_WAIT_SHARE * left_s
+    return expected_s + FIRST_EVENT_LATENCY_S <= target_s
+
+
+def max_queue_time_s(target_s: float, max_gap_s: float) -> float:
+    """Return the longest time that a request may spend in the queue.
+
+    >>> max_queue_time_s(0.3, 0.25), max_queue_time_s(0.3, 0.5)
+    (1.5, 3.0)
+    """
+    longest_s = max(
+        MIN_CALLER_TIMEOUT_S,
+        CALLER_TIMEOUT_TARGETS * target_s,
+        CALLER_TIMEOUT_GAPS * max_gap_s,
+    )
+    return QUEUE_TIME_SHARE * longest_s
+
+
+def retry_after_s(retry_at_s: float, now_s: float, left_s: float) -> float:
+    """Return the retry delay for a refused caller.
+
+    It is limited to a share of the request's remaining time.
+
+    >>> retry_after_s(11.0, 10.0, left_s=5.0)
+    1.0
+    >>> retry_after_s(19.0, 10.0, left_s=2.0)
+    0.66
+    """
+    limit_s = max(MIN_RETRY_AFTER_S, RETRY_AFTER_SHARE * left_s)
+    return min(retry_at_s - now_s, limit_s)
--- a/tests/test_gateway_attempts.py
+++ b/tests/test_gateway_attempts.py
@@ -74,8 +74,8 @@
         """Return an attempt that has not been sent."""
         time = FakeTime()
         dispatcher = make_dispatcher(time, make_endpoint('e1'))
-        place = dispatcher.try_place('lm')
-        assert place is not None
+        reservation = dispatcher.try_acquire('lm')
+        assert reservation is not None
         context = RelayContext(
             dispatcher,
             HttpClient(),
@@ -88,15 +88,15 @@
             make_request(route, time.now_s),
             FakeCaller(),
             Progress(),
-            place,
+            reservation,
             Exchange(),
         )
         return cls(time, dispatcher, attempt)
 
     def ejected(self) -> bool:
         """Tell whether the endpoint was ejected."""
-        belief = self.dispatcher.book.beliefs['e1']
-        return belief.ejected_until_s > self.time.now_s
+        tracked = self.dispatcher.endpoints.by_id['e1']
+        return tracked.ejected_until_s > self.time.now_s
 
 
 def make_request(route: Route, now_s: float) -> OnlineRequest:
@@ -135,7 +135,7 @@
     """Guards against a burst of requests that ejects every busy engine."""
     harness = AttemptHarness.of(make_route())
     harness.time.now_s += 0.2
-    harness.dispatcher.book.note_bytes('e1', harness.time.now_s - 0.05)
+    harness.dispatcher.endpoints.note_bytes('e1', harness.time.now_s - 0.05)
     harness.attempt.note_failure(ExchangeError(Failure.STALLED))
     assert not harness.ejected()
 
@@ -143,7 +143,7 @@
 def test_one_lost_response_does_not_eject_a_serving_endpoint() -> None:
     """Guards against ejecting a whole engine for one connection reset."""
     harness = AttemptHarness.of(make_route())
-    harness.dispatcher.book.note_bytes('e1', harness.time.now_s - 0.05)
+    harness.dispatcher.endpoints.note_bytes('e1', harness.time.now_s - 0.05)
     harness.attempt.note_failure(ExchangeError(Failure.BROKEN))
     assert not harness.ejected()
 
@@ -152,7 +152,7 @@
     """Guards against keeping endpoints that lose many of their responses."""
     harness = AttemptHarness.of(make_route())
     for _ in range(5):
-        harness.dispatcher.book.note_bytes('e1', harness.time.now_s)
+        harness.dispatcher.endpoints.note_bytes('e1', harness.time.now_s)
         harness.attempt.note_failure(ExchangeError(Failure.BROKEN))
     assert harness.ejected()
 
@@ -160,7 +160,7 @@
 def test_unresponsive_endpoint_is_ejected() -> None:
     """Guards against an unresponsive engine that keeps receiving streams."""
     harness = AttemptHarness.of(make_route())
-    harness.dispatcher.book.note_bytes('e1', harness.time.now_s - 1.0)
+    harness.dispatcher.endpoints.note_bytes('e1', harness.time.now_s - 1.0)
     harness.time.now_s += 0.2
     harness.attempt.note_failure(ExchangeError(Failure.STALLED))
     assert harness.ejected()
@@ -172,13 +172,13 @@
     The timeout is extended only if the endpoint has sent bytes, and only once.
     """
     harness = AttemptHarness.of(make_route())
-    place = harness.attempt.place
+    reservation = harness.attempt.reservation
     now_s = harness.time.now_s + 0.2
-    book = harness.dispatcher.book
-    assert extended_deadline_s(book, place, 0.15, now_s) == 0.0
-    book.note_bytes('e1', now_s - 0.1)
-    until_s = extended_deadline_s(book, place, 0.15, now_s)
-    assert until_s == place.taken_s + QUEUED_TIMEOUT_S
+    endpoints = harness.dispatcher.endpoints
+    assert extended_deadline_s(endpoints, reservation, 0.15, now_s) == 0.0
+    endpoints.note_bytes('e1', now_s - 0.1)
+    until_s = extended_deadline_s(endpoints, reservation, 0.15, now_s)
+    assert until_s == reservation.taken_s + QUEUED_TIMEOUT_S
     exchange = Exchange(expires_at_s=now_s, extend=lambda now: until_s)
     assert not exchange.check_timeout(now_s + 0.01)
     assert exchange.check_timeout(until_s + 0.01)
@@ -245,7 +245,7 @@
         harness.attempt.request,
         deadline_s=harness.time.now_s - 1,
     )
-    harness.dispatcher.release(harness.attempt.place)
+    harness.dispatcher.release(harness.attempt.reservation)
     caller = FakeCaller()
     with anyio.fail_after(2):
         outcome = await relay(
--- a/tests/test_gateway_batch.py
+++ b/tests/test_gateway_batch.py
@@ -23,7 +23,7 @@
     Member,
 )
 from quetzaldyke.gateway.job_table import JobTable
-from quetzaldyke.gateway.loads import LoadTable, Running
+from quetzaldyke.gateway.loads import LoadTable, RequestCounts
 from quetzaldyke.gateway.membership import (
     OUTAGE_GRACE_S,
     OWNER_GRACE_S,
@@ -81,9 +81,13 @@
     """Guards against all entries preempting runs for one online request."""
     policy = make_policy()
     set_running(policy.loads, 'e1', online=0, batch=2)
-    policy.loads.take_report('p', {'e1': Running(2, 1)}, {}, 0, now_s=1.0)
+    policy.loads.apply_report(
+        'p', {'e1': RequestCounts(2, 1)}, {}, 0, now_s=1.0
+    )
     assert policy.runs_to_preempt('e1', slots=4) == 1
-    policy.loads.take_report('p', {'e1': Running(0, 3)}, {}, 0, now_s=1.0)
+    policy.loads.apply_report(
+        'p', {'e1': RequestCounts(0, 3)}, {}, 0, now_s=1.0
+    )
     assert policy.runs_to_preempt('e1', slots=4) == 0
 
 
@@ -176,11 +180,11 @@
 def test_no_takeover_right_after_an_outage() -> None:
     """Guards against mass takeovers when leases lapse in a store outage."""
     ownership = Ownership.of(table_with(OTHER, OWN), OWN)
-    well_since_s = 10.0
-    ownership.orphans(10.1, well_since_s, ())
-    early_s = well_since_s + OUTAGE_GRACE_S - 0.1
-    assert not ownership.orphans(early_s, well_since_s, ())
-    assert ownership.orphans(early_s + 0.2, well_since_s, ()) == ['j']
+    up_since_s = 10.0
+    ownership.orphans(10.1, up_since_s, ())
+    early_s = up_since_s + OUTAGE_GRACE_S - 0.1
+    assert not ownership.orphans(early_s, up_since_s, ())
+    assert ownership.orphans(early_s + 0.2, up_since_s, ()) == ['j']
 
 
 def test_job_of_the_own_predecessor_is_taken_over_at_once() -> None:
@@ -198,7 +202,9 @@
         if Ownership.of(
             table_with(Member('x', 'i-x', '', 0), OWN, OTHER),
             member,
-        ).is_mine('j', table_with(Member('x', 'i-x', '', 0)).view('j'), {'x'})
+        ).should_take_over(
+            'j', table_with(Member('x', 'i-x', '', 0)).view('j'), {'x'}
+        )
     ]
     assert len(successors) == 1
 
--- a/tests/test_gateway_waiting.py
+++ b/tests/test_gateway_waiting.py
@@ -1,4 +1,4 @@
-"""Tests of the waiting line: bursts, refusals and returning callers."""
+"""Tests of the wait queue: bursts, refusals and retries of callers."""
 
 from __future__ import annotations
 
@@ -15,89 +15,94 @@
     make_route,
     set_running,
 )
-from quetzaldyke.gateway.waiting_line import Waiter, WaitingLine, may_wait
+from quetzaldyke.gateway.wait_queue import QueuedRequest, WaitQueue, may_wait
 
 pytestmark = pytest.mark.anyio
 
 
 @pytest.fixture
 def anyio_backend() -> str:
-    """Run on the backend that the processes use."""
+    """Return the backend that the processes use."""
     return 'asyncio'
 
 
-def make_waiter(
+def make_queued_request(
     started: list[str],
     name: str,
     *,
     priority: int = 0,
-    on_time_until_s: float = 10.0,
-    give_up_s: float = 20.0,
-    room: int = 100,
-) -> Waiter:
-    """Return a waiter that notes its start while there is room."""
+    latest_on_time_start_s: float = 10.0,
+    latest_start_s: float = 20.0,
+    capacity: int = 100,
+) -> QueuedRequest:
+    """Return a request that appends its name when started or refused.
+
+    It starts only while fewer than `capacity` names are recorded.
+    """
 
     def try_start() -> bool:
-        if len(started) >= room:
+        if len(started) >= capacity:
             return False
         started.append(name)
         return True
 
-    return Waiter(
+    return QueuedRequest(
         priority,
-        on_time_until_s,
-        give_up_s,
+        latest_on_time_start_s,
+        latest_start_s,
         try_start,
         lambda: started.append(f'refused {name}'),
     )
 
 
-def test_urgent_first_then_order_of_arrival() -> None:
-    """Guards against a less urgent request that is served first."""
+def test_order_is_by_priority_then_arrival() -> None:
+    """Guards against serving a less urgent request first."""
     started: list[str] = []
-    line = WaitingLine()
-    line.add(make_waiter(started, 'low', priority=2))
-    line.add(make_waiter(started, 'first'))
-    line.add(make_waiter(started, 'second'))
-    line.serve(1.0)
+    queue = WaitQueue()
+    queue.add(make_queued_request(started, 'low', priority=2))
+    queue.add(make_queued_request(started, 'first'))
+    queue.add(make_queued_request(started, 'second'))
+    queue.serve(1.0)
     assert started == ['first', 'second', 'low']
 
 
-def test_those_that_can_be_on_time_go_first() -> None:
-    """Guards against a burst that makes every request late."""
+def test_requests_that_can_meet_their_objective_go_first() -> None:
+    """Guards against serving late requests first, which delays all others."""
     started: list[str] = []
-    line = WaitingLine()
-    line.add(make_waiter(started, 'late', on_time_until_s=0.5))
-    line.add(make_waiter(started, 'timely', on_time_until_s=5.0))
-    line.serve(1.0)
+    queue = WaitQueue()
+    queue.add(make_queued_request(started, 'late', latest_on_time_start_s=0.5))
+    queue.add(
+        make_queued_request(started, 'timely', latest_on_time_start_s=5.0)
+    )
+    queue.serve(1.0)
     assert started == ['timely', 'late']
 
 
-def test_line_keeps_those_without_room() -> None:
-    """Guards against requests that are dropped when slots run out."""
+def test_queue_keeps_requests_that_found_no_capacity() -> None:
+    """Guards against dropping queued requests when slots run out."""
     started: list[str] = []
-    line = WaitingLine()
+    queue = WaitQueue()
     for name in ('a', 'b', 'c'):
-        line.add(make_waiter(started, name, room=2))
-    line.serve(1.0)
-    assert (started, len(line)) == (['a', 'b'], 1)
+        queue.add(make_queued_request(started, name, capacity=2))
+    queue.serve(1.0)
+    assert (started, len(queue)) == (['a', 'b'], 1)
 
 
-def test_late_requests_are_refused_not_forgotten() -> None:
-    """Guards against callers that are never told that they were given up."""
+def test_expired_requests_are_refused() -> None:
+    """Guards against removing a request without a response to its caller."""
     started: list[str] = []
-    line = WaitingLine()
-    line.add(make_waiter(started, 'a', give_up_s=2.0))
-    line.drop_late(2.0)
-    assert (started, len(line)) == (['refused a'], 0)
+    queue = WaitQueue()
+    queue.add(make_queued_request(started, 'a', latest_start_s=2.0))
+    queue.refuse_expired(2.0)
+    assert (started, len(queue)) == (['refused a'], 0)
 
 
 @given(st.integers(1, 60))
-def test_refused_callers_return_one_after_the_other(refused: int) -> None:
-    """Guards against a stampede of callers told the same time."""
-    line = WaitingLine()
-    times = [line.next_return_s(0.0, own_slots=10.0) for _ in range(refused)]
-    pace_s = line.hold_s / 5.0
+def test_retry_times_of_refused_callers_are_spaced(refused: int) -> None:
+    """Guards against a retry storm of callers given the same retry time."""
+    queue = WaitQueue()
+    times = [queue.next_retry_s(0.0, own_slots=10.0) for _ in range(refused)]
+    pace_s = queue.mean_hold_s / 5.0
     gaps = [
         after - before for before, after in zip(times, times[1:], strict=False)
     ]
@@ -109,30 +114,32 @@
     st.floats(0.05, 1),
     st.floats(0.1, 5),
 )
-def test_longer_waits_are_never_preferred(
+def test_a_shorter_wait_is_always_accepted_too(
     expected_s: float,
     target_s: float,
     left_s: float,
 ) -> None:
-    """Guards against a rule that accepts a long wait and refuses a short."""
+    """Guards against accepting a long wait but refusing a shorter one."""
     if may_wait(expected_s, target_s, left_s, 5.0):
         assert may_wait(expected_s / 2, target_s, left_s, 5.0)
 
 
-async def test_new_caller_is_refused_at_once_when_the_line_is_long() -> None:
-    """Guards against callers held until their objective is lost."""
+async def test_first_attempt_is_refused_at_once_when_the_queue_is_long() -> (
+    None
+):
+    """Guards against queueing requests that will miss their objective."""
     time = FakeTime()
     dispatcher = make_dispatcher(time, make_endpoint('e1'))
     set_running(dispatcher.loads, 'e1', online=9, batch=0)
-    dispatcher.loads.take_report('p', {}, {'lm': 50}, 0, time.now_s)
-    placed = await dispatcher.place('lm', make_route(), time.now_s + 5, ())
+    dispatcher.loads.apply_report('p', {}, {'lm': 50}, 0, time.now_s)
+    placed = await dispatcher.acquire('lm', make_route(), time.now_s + 5, ())
     assert isinstance(placed, Err)
     assert placed.err_value.reason == 'no_slot_in_time'
     assert placed.err_value.retry_after_s > 0
 
 
-def test_queues_of_engines_count_as_a_wait() -> None:
-    """Guards against callers kept for a slot that comes too late."""
+def test_engine_queues_count_towards_the_expected_wait() -> None:
+    """Guards against a wait estimate that ignores queues at the engines."""
     time = FakeTime()
     dispatcher = make_dispatcher(time, make_endpoint('e1'))
     set_running(dispatcher.loads, 'e1', online=4, batch=3)
@@ -141,27 +148,27 @@
     assert dispatcher.expected_wait_s('lm') == pytest.approx(3 * without)
 
 
-async def check_wait_for_release(left_s: float, *, sent_before: bool) -> None:
-    """Check that a request waits at a full endpoint until a slot is freed."""
+async def check_wait_for_release(left_s: float, *, already_sent: bool) -> None:
+    """Check that a request waits until a slot of the full endpoint is free."""
     time = FakeTime()
     dispatcher = make_dispatcher(time, make_endpoint('e1'))
-    holders = [dispatcher.try_place('lm') for _ in range(5)]
-    dispatcher.loads.take_report('p', {}, {'lm': 4}, 0, time.now_s)
+    holders = [dispatcher.try_acquire('lm') for _ in range(5)]
+    dispatcher.loads.apply_report('p', {}, {'lm': 4}, 0, time.now_s)
     placed = []
 
-    async def ask() -> None:
+    async def acquire() -> None:
         placed.append(
-            await dispatcher.place(
+            await dispatcher.acquire(
                 'lm',
                 make_route(),
                 time.now_s + left_s,
                 (),
-                sent_before=sent_before,
+                already_sent=already_sent,
             ),
         )
 
     async with anyio.create_task_group() as group:
-        group.start_soon(ask)
+        group.start_soon(acquire)
         await anyio.wait_all_tasks_blocked()
         assert not placed
         assert holders[0] is not None
@@ -169,23 +176,23 @@
     assert isinstance(placed[0], Ok)
 
 
-async def test_returning_caller_waits_for_a_slot() -> None:
-    """Guards against callers that are sent away a second time."""
-    await check_wait_for_release(3.0, sent_before=False)
+async def test_retry_of_a_caller_waits_for_a_slot() -> None:
+    """Guards against refusing a caller a second time."""
+    await check_wait_for_release(3.0, already_sent=False)
 
 
 async def test_request_that_was_sent_before_waits_for_a_slot() -> None:
     """Guards against a request lost because its retry found no slot."""
-    await check_wait_for_release(5.0, sent_before=True)
+    await check_wait_for_release(5.0, already_sent=True)
 
 
-async def test_cancelled_waiter_gives_its_place_back() -> None:
-    """Guards against slots that leak when a caller leaves the line."""
+async def test_cancelled_request_leaks_no_reservation() -> None:
+    """Guards against slots that leak when a caller cancels in the queue."""
     time = FakeTime()
     dispatcher = make_dispatcher(time, make_endpoint('e1'))
-    holders = [dispatcher.try_place('lm') for _ in range(5)]
+    holders = [dispatcher.try_acquire('lm') for _ in range(5)]
     with anyio.move_on_after(0):
-        await dispatcher.place('lm', make_route(), time.now_s + 3.0, ())
+        await dispatcher.acquire('lm', make_route(), time.now_s + 3.0, ())
     for holder in holders:
         assert holder is not None
         dispatcher.release(holder)
@@ -193,9 +200,9 @@
 
 
 async def test_service_without_endpoints_is_refused_at_once() -> None:
-    """Guards against requests that wait for endpoints that are not there."""
+    """Guards against queueing requests for a service without endpoints."""
     time = FakeTime()
     dispatcher = make_dispatcher(time)
-    placed = await dispatcher.place('lm', make_route(), time.now_s + 5, ())
+    placed = await dispatcher.acquire('lm', make_route(), time.now_s + 5, ())
     assert isinstance(placed, Err)
     assert placed.err_value.reason == 'no_endpoint'
