--- a/src/quetzaldyke/process/answers_http.py
+++ b/src/quetzaldyke/process/answers_http.py
@@ -24,8 +24,8 @@
     AnswerEnd,
     AnswerEvent,
     AnswerText,
+    CompleteAnswer,
     Refusal,
-    WholeAnswer,
     collect,
     incomplete,
 )
@@ -183,7 +183,7 @@
             document['usage'] = usage_of(end)
         return b'data: %s\n\n' % orjson.dumps(document)
 
-    def whole(self, answer: WholeAnswer) -> bytes:
+    def whole(self, answer: CompleteAnswer) -> bytes:
         """Return the document of an answer that is not streamed."""
         if self.chat:
             kind = 'chat.completion'
@@ -350,7 +350,7 @@
     async def send_answer(
         self,
         send: Send,
-        answer: WholeAnswer | Refusal,
+        answer: CompleteAnswer | Refusal,
     ) -> None:
         """Send the answer in the form of the endpoint's kind."""
         request_id = self.request.request_id
@@ -370,7 +370,7 @@
 
 async def send_service_answer(
     send: Send,
-    answer: WholeAnswer,
+    answer: CompleteAnswer,
     request_id: str,
 ) -> None:
     """Send a plain service's answer as it is."""
--- a/src/quetzaldyke/process/callers_gate.py
+++ b/src/quetzaldyke/process/callers_gate.py
@@ -27,7 +27,7 @@
     HTTP_UNAVAILABLE,
     Refusal,
 )
-from quetzaldyke.request.router import Holder
+from quetzaldyke.request.router import ConfigurationHolder
 from quetzaldyke.version.configuration import Configuration, hash_key
 
 IDEMPOTENCY_HEADER: Final = 'idempotency-key'
@@ -41,7 +41,7 @@
 class KeyIndex:
     """Organisations by the hash of their key, for one configuration."""
 
-    holder: Holder
+    holder: ConfigurationHolder
     source: Configuration | None = None
     names: dict[str, str] = field(default_factory=dict)
 
--- a/src/quetzaldyke/process/callers_http.py
+++ b/src/quetzaldyke/process/callers_http.py
@@ -50,8 +50,8 @@
     MS_IN_S,
     Refusal,
 )
-from quetzaldyke.request.prefixes import prefix_names, prompt_of
-from quetzaldyke.request.router import Holder
+from quetzaldyke.request.prefixes import prefix_hashes, prompt_of
+from quetzaldyke.request.router import ConfigurationHolder
 
 HTTP_SERVER_FAULT: Final = 500
 COMPLETIONS_PATH: Final = '/v1/completions'
@@ -89,7 +89,7 @@
 
     settings: EntrySettings
     clock: Clock
-    holder: Holder
+    holder: ConfigurationHolder
     execute: ExecuteContext
     once: OnceContext
 
@@ -167,7 +167,7 @@
     }
 
 
-def pool_of_model(holder: Holder, model: str) -> str | None:
+def pool_of_model(holder: ConfigurationHolder, model: str) -> str | None:
     """Return the engine pool that a caller's model names.
 
     The name of the pool goes first; a model name finds the first pool that
@@ -208,7 +208,7 @@
         fingerprint=fingerprint(pool, path, raw),
         idempotency_key=options.idempotency_key,
         model=body.model,
-        prefixes=prefix_names(prompt_of(body)),
+        prefixes=prefix_hashes(prompt_of(body)),
         include_usage=wanted is not None and wanted.include_usage,
     )
 
--- a/src/quetzaldyke/process/usage_exchange.py
+++ b/src/quetzaldyke/process/usage_exchange.py
@@ -32,7 +32,10 @@
     async def on_report(self, session: PeerSession, message: Message) -> None:
         """Note what another entry was asked."""
         if isinstance(message, UsageReport):
-            self.coordinator.note(session.remote.instance, message.used)
+            self.coordinator.record_demand(
+                session.remote.instance,
+                message.used,
+            )
 
     async def on_advice(self, session: PeerSession, message: Message) -> None:
         """Follow advice from the entry that coordinates an organisation."""
@@ -40,7 +43,7 @@
             return
         sender = session.remote.instance
         entries = self.fleet.live_entries()
-        self.limits.adopt(
+        self.limits.apply_advice(
             {
                 name: share
                 for name, share in message.shares.items()
@@ -53,17 +56,17 @@
         entries = self.fleet.live_entries()
         own = self.fleet.own.instance
         by_coordinator: dict[str, dict[str, int]] = defaultdict(dict)
-        for name, count in self.limits.take_asked().items():
+        for name, count in self.limits.take_demand().items():
             first = first_for(entries, name) or own
             by_coordinator[first][name] = count
         for entry, used in by_coordinator.items():
             if entry == own:
-                self.coordinator.note(own, used)
+                self.coordinator.record_demand(own, used)
             else:
                 self.fleet.send_to_entry(entry, UsageReport(used))
-        for entry, shares in self.coordinator.advise(entries).items():
+        for entry, shares in self.coordinator.compute_shares(entries).items():
             if entry == own:
-                self.limits.adopt(shares)
+                self.limits.apply_advice(shares)
             elif shares:
                 self.fleet.send_to_entry(entry, UsageAdvice(shares))
-        self.limits.forget_idle()
+        self.limits.remove_idle()
--- a/src/quetzaldyke/request/limits.py
+++ b/src/quetzaldyke/request/limits.py
@@ -129,7 +129,7 @@
             usage.bucket.set_rate(rate, burst)
         return usage
 
-    def take_asked(self) -> dict[str, int]:
+    def take_demand(self) -> dict[str, int]:
         """Return the requests asked for since the last call."""
         asked = dict(self.asked)
         # A zero is reported once after the last request, so that the
@@ -150,14 +150,14 @@
         usage = self.usage.get(name)
         return usage.running if usage else 0
 
-    def adopt(self, shares: Mapping[str, float]) -> None:
+    def apply_advice(self, shares: Mapping[str, float]) -> None:
         """Follow the coordinator's advice."""
         until_s = self.read_now_s() + ADVICE_LIFE_S
         for name, share in shares.items():
             bounded = min(1.0, max(0.0, share))
             self.advice[name] = Advice(bounded, until_s)
 
-    def forget_idle(self) -> None:
+    def remove_idle(self) -> None:
         """Drop lapsed advice and the state of organisations at rest."""
         now_s = self.read_now_s()
         self.advice = {
@@ -181,13 +181,15 @@
         default_factory=lambda: defaultdict(dict),
     )
 
-    def note(self, entry: str, used: Mapping[str, int]) -> None:
+    def record_demand(self, entry: str, used: Mapping[str, int]) -> None:
         """Keep the latest report of an entry."""
         now_s = self.read_now_s()
         for name, count in used.items():
             self.demand[name][entry] = (count, now_s)
 
-    def advise(self, entries: Collection[str]) -> dict[str, dict[str, float]]:
+    def compute_shares(
+        self, entries: Collection[str]
+    ) -> dict[str, dict[str, float]]:
         """Return for each live entry its shares of the organisations."""
         oldest_s = self.read_now_s() - USAGE_LIFE_S
         by_entry: dict[str, dict[str, float]] = {name: {} for name in entries}
--- a/src/quetzaldyke/request/outcome.py
+++ b/src/quetzaldyke/request/outcome.py
@@ -107,7 +107,7 @@
 
 
 @dataclass(slots=True)
-class WholeAnswer:
+class CompleteAnswer:
     """All parts of an answer, put together."""
 
     end: AnswerEnd
@@ -125,7 +125,7 @@
 
 async def collect(
     events: AsyncIterator[AnswerEvent],
-) -> WholeAnswer | Refusal:
+) -> CompleteAnswer | Refusal:
     """Return the whole answer, or the refusal that ended it."""
     parts = Parts()
     async with aclosing(events) as open_events:  # type: ignore[type-var]
@@ -139,7 +139,7 @@
                     return event
                 case AnswerEnd():
                     raw = b''.join((*parts.raws, event.body))
-                    return WholeAnswer(event, ''.join(parts.texts), raw)
+                    return CompleteAnswer(event, ''.join(parts.texts), raw)
     return incomplete('the answer ended without its end mark')
 
 
--- a/src/quetzaldyke/request/prefixes.py
+++ b/src/quetzaldyke/request/prefixes.py
@@ -36,10 +36,10 @@
     return ''.join(str(part.get('text', '')) for part in content)
 
 
-def prefix_names(prompt: str) -> tuple[str, ...]:
+def prefix_hashes(prompt: str) -> tuple[str, ...]:
     """Return the name of each whole block's prefix, shortest first.
 
-    >>> prefix_names('too short')
+    >>> prefix_hashes('too short')
     ()
     """
     words = prompt.split(maxsplit=BLOCK_WORDS * MAX_BLOCKS)
--- a/src/quetzaldyke/request/router.py
+++ b/src/quetzaldyke/request/router.py
@@ -31,7 +31,7 @@
 DEFAULT_POOL: Final = Pool()
 
 
-class Holder(Protocol):
+class ConfigurationHolder(Protocol):
     """Gives the configuration in force."""
 
     @property
@@ -61,7 +61,7 @@
     """Routing state of one entry."""
 
     fleet: Fleet
-    holder: Holder
+    holder: ConfigurationHolder
     clock: Clock
     random: Random = field(default_factory=Random)
     at_report: dict[str, int] = field(default_factory=dict)
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -149,7 +149,7 @@
     """Guards against shares of a coordinator that is gone."""
     time = ManualTime()
     limits = make_limits(time)
-    limits.adopt({'barf': 0.75})
+    limits.apply_advice({'barf': 0.75})
     time.now_s = later_s
     assert admitted(limits, 10) == expected
 
@@ -186,10 +186,10 @@
     """Guards against shares that stay with an entry that is gone."""
     time = ManualTime()
     coordinator = Coordinator(time.read)
-    coordinator.note('entry-1', {'barf': 90})
-    coordinator.note('entry-2', {'barf': 10})
-    advice = coordinator.advise(['entry-1', 'entry-2'])
+    coordinator.record_demand('entry-1', {'barf': 90})
+    coordinator.record_demand('entry-2', {'barf': 10})
+    advice = coordinator.compute_shares(['entry-1', 'entry-2'])
     assert advice['entry-1']['barf'] > 0.8
-    assert coordinator.advise(['entry-2']) == {'entry-2': {'barf': 1.0}}
+    assert coordinator.compute_shares(['entry-2']) == {'entry-2': {'barf': 1.0}}
     time.now_s = 60
-    assert coordinator.advise(['entry-2']) == {'entry-2': {}}
+    assert coordinator.compute_shares(['entry-2']) == {'entry-2': {}}
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -24,7 +24,7 @@
     refuse_early,
 )
 from quetzaldyke.request.model import OnlineRequest
-from quetzaldyke.request.prefixes import prefix_names
+from quetzaldyke.request.prefixes import prefix_hashes
 from quetzaldyke.request.retry import (
     Progress,
     combine,
@@ -42,7 +42,7 @@
 OWN = Instance('entry-1', 'entry', 'a', '127.0.0.1:1')
 
 
-class Holder:
+class FixedConfiguration:
     """A configuration that does not change."""
 
     def __init__(self, current: Configuration) -> None:
@@ -99,7 +99,7 @@
         self.fleet = Fleet(OWN, 20)
         self.router = Router(
             self.fleet,
-            Holder(config or configuration()),
+            FixedConfiguration(config or configuration()),
             Clock(lambda: self.now_s),
             Random(5),
         )
@@ -167,7 +167,7 @@
 
 def test_longest_cached_prefix_wins() -> None:
     """Guards against a hint that ignores how much is cached."""
-    names = prefix_names('word ' * 64)
+    names = prefix_hashes('word ' * 64)
     bench = Bench()
     bench.add('cold')
     bench.add('short', prefixes=[names[0]])
@@ -179,7 +179,7 @@
 def test_prefixes_are_named_as_the_engine_names_them(words: int) -> None:
     """Guards against names that never match the engine's."""
     prompt = ' '.join(f'w{number}' for number in range(words))
-    assert list(prefix_names(prompt)) == engine_text.prefix_names(prompt)
+    assert list(prefix_hashes(prompt)) == engine_text.prefix_names(prompt)
 
 
 @pytest.mark.parametrize(
