--- a/src/quetzaldyke/request/attempt.py
+++ b/src/quetzaldyke/request/attempt.py
@@ -27,7 +27,7 @@
 OnBegin = Callable[[CallTable, Call], None]
 
 
-def count_running(link: SidecarLink, submit: Submit, change: int) -> None:
+def add_running(link: SidecarLink, submit: Submit, change: int) -> None:
     """Count a request in or out of the link."""
     if submit.work == 'batch':
         link.running_batch += change
@@ -35,7 +35,7 @@
         link.running_online += change
 
 
-def note_ttft(link: SidecarLink, sample_ms: float) -> None:
+def update_mean_ttft(link: SidecarLink, sample_ms: float) -> None:
     """Update the link's moving average of the time to first token."""
     if link.ttft_ms == 0:
         link.ttft_ms = sample_ms
@@ -53,23 +53,23 @@
 
     The request is cancelled at the sidecar when the reader stops early.
     """
-    begun_s = read_now_s()
-    waits_for_first = submit.work == 'online'
-    count_running(link, submit, 1)
+    started_s = read_now_s()
+    awaiting_first = submit.work == 'online'
+    add_running(link, submit, 1)
     try:
         call = link.calls.begin(submit)
         if on_begin is not None:
             on_begin(link.calls, call)
         async with aclosing(read_call(link.calls, call)) as events:  # type: ignore[type-var]
             async for event in events:
-                if waits_for_first and isinstance(event, Chunk | End):
-                    waits_for_first = False
-                    note_ttft(link, (read_now_s() - begun_s) * MS_IN_S)
+                if awaiting_first and isinstance(event, Chunk | End):
+                    awaiting_first = False
+                    update_mean_ttft(link, (read_now_s() - started_s) * MS_IN_S)
                 yield event
     finally:
-        count_running(link, submit, -1)
+        add_running(link, submit, -1)
 
 
-def ran_so_far(event: CallEvent) -> bool:
+def proves_receipt(event: CallEvent) -> bool:
     """Tell whether an event proves that the endpoint got the request."""
     return isinstance(event, Started | Chunk | End)
--- a/src/quetzaldyke/request/deadline.py
+++ b/src/quetzaldyke/request/deadline.py
@@ -19,26 +19,26 @@
 
 EXPIRY_INTERVAL_S: Final = 0.05
 # Time for the sidecar's own, more certain answer to arrive.
-GRACE_S: Final = 0.25
+EXPIRY_GRACE_S: Final = 0.25
 DEADLINE_REASON: Final = 'deadline'
 
 # The call is looked up by its id, so that finished requests and their bodies
 # are not kept in memory until their deadline.
-Row = tuple[float, int, CallTable, str]
+HeapEntry = tuple[float, int, CallTable, str]
 
 
 @dataclass(slots=True)
 class DeadlineQueue:
     """Calls in the order of their deadlines."""
 
-    heap: list[Row] = field(default_factory=list)
-    numbers: Iterator[int] = field(default_factory=itertools.count)
+    heap: list[HeapEntry] = field(default_factory=list)
+    sequence: Iterator[int] = field(default_factory=itertools.count)
 
     def add(self, deadline_s: float, table: CallTable, call: Call) -> None:
         """Watch a call until its deadline."""
-        due_s = deadline_s + GRACE_S
-        row = (due_s, next(self.numbers), table, call.submit.request_id)
-        heapq.heappush(self.heap, row)
+        due_s = deadline_s + EXPIRY_GRACE_S
+        heap_entry = (due_s, next(self.sequence), table, call.submit.request_id)
+        heapq.heappush(self.heap, heap_entry)
 
     def expire(self, now_s: float) -> int:
         """End the calls whose time is over; return how many."""
--- a/src/quetzaldyke/request/execute.py
+++ b/src/quetzaldyke/request/execute.py
@@ -38,16 +38,16 @@
     AnswerEvent,
     AnswerText,
     Refusal,
-    crashing,
-    late,
+    crashes_endpoints,
+    deadline_exceeded,
     no_endpoint,
     overloaded,
-    refusal_of,
+    refusal_for_failure,
 )
 from quetzaldyke.request.retry import (
     ANSWER_TOO_LARGE,
     Progress,
-    is_free,
+    is_budget_exempt,
     may_retry,
     unsent_text,
 )
@@ -56,10 +56,10 @@
 RETRY_AFTER_MS: Final = 1000
 # Answers of plain services are held until their status is known.
 MAX_ANSWER_BYTES: Final = 16_777_216
-NO_ENDPOINT: Final = 'no endpoint is available'
+NO_ENDPOINT_REASON: Final = 'no endpoint is available'
 # Weight of the newest request in the mean time that a request takes.
-SERVICE_WEIGHT: Final = 0.05
-RETRY_PAUSES: Final = BackoffOptions(cap_s=0.5)
+SERVICE_TIME_WEIGHT: Final = 0.05
+RETRY_BACKOFF: Final = BackoffOptions(cap_s=0.5)
 
 
 @dataclass(slots=True)
@@ -72,21 +72,21 @@
     log_event: LogEvent
     metrics: Metrics
     suspects: SuspectBook
-    budgets: dict[str, RetryBudget] = field(default_factory=dict)
-    service_s: dict[str, float] = field(default_factory=dict)
+    retry_budgets: dict[str, RetryBudget] = field(default_factory=dict)
+    mean_service_s: dict[str, float] = field(default_factory=dict)
     sleep: Callable[[float], Awaitable[None]] = anyio.sleep
 
-    def budget(self, pool: str) -> RetryBudget:
+    def retry_budget(self, pool: str) -> RetryBudget:
         """Return the retry budget of a pool."""
-        if pool not in self.budgets:
-            self.budgets[pool] = RetryBudget(self.clock.now)
-        return self.budgets[pool]
+        if pool not in self.retry_budgets:
+            self.retry_budgets[pool] = RetryBudget(self.clock.now)
+        return self.retry_budgets[pool]
 
-    def note_service(self, pool: str, taken_s: float) -> None:
+    def record_service_time(self, pool: str, elapsed_s: float) -> None:
         """Update the mean time that a request of a pool runs."""
-        mean_s = self.service_s.get(pool, taken_s)
-        mean_s += SERVICE_WEIGHT * (taken_s - mean_s)
-        self.service_s[pool] = mean_s
+        mean_s = self.mean_service_s.get(pool, elapsed_s)
+        mean_s += SERVICE_TIME_WEIGHT * (elapsed_s - mean_s)
+        self.mean_service_s[pool] = mean_s
 
 
 def make_submit(
@@ -128,14 +128,16 @@
 ) -> Refusal | None:
     """Refuse what must not run or could not start before its deadline."""
     if context.suspects.verdict(request.fingerprint) == 'confirmed':
-        return crashing('not_run')
+        return crashes_endpoints('not_run')
     remaining_s = request.deadline_s - context.clock.now()
     if remaining_s <= 0:
-        return late('not_run')
+        return deadline_exceeded('not_run')
     if pick is None:
         return no_endpoint(request.pool, RETRY_AFTER_MS)
-    ahead = pick.load - pick.limit + 1
-    wait_s = ahead / pick.limit * context.service_s.get(request.pool, 0)
+    queued_ahead = pick.load - pick.limit + 1
+    wait_s = (
+        queued_ahead / pick.limit * context.mean_service_s.get(request.pool, 0)
+    )
     if wait_s > remaining_s:
         return overloaded(request.pool, int(wait_s * MS_IN_S))
     return None
@@ -172,7 +174,7 @@
                 yield event
 
 
-def end_of(end: End, progress: Progress) -> AnswerEnd:
+def answer_end(end: End, progress: Progress) -> AnswerEnd:
     """Return the caller's form of the end of an answer."""
     return AnswerEnd(
         end.status,
@@ -184,7 +186,7 @@
     )
 
 
-def relay_chunk(chunk: Chunk, progress: Progress) -> AnswerText | None:
+def record_chunk(chunk: Chunk, progress: Progress) -> AnswerText | None:
     """Keep a chunk and return what the caller gets of it now.
 
     Bytes of plain services wait for the end, because the status that goes
@@ -208,14 +210,17 @@
     progress: Progress,
 ) -> bool:
     """Wait for the next attempt; False when it must not be made."""
-    failed = progress.failed
+    failed = progress.last_failure
     if not may_retry(request, progress, failed):
         return False
-    if not is_free(failed) and not context.budget(request.pool).try_spend():
+    if (
+        not is_budget_exempt(failed)
+        and not context.retry_budget(request.pool).try_spend()
+    ):
         context.log_event('retry_budget_spent', pool=request.pool)
         return False
     pause = pause_s(
-        RETRY_PAUSES,
+        RETRY_BACKOFF,
         progress.attempt,
         context.router.random.uniform,
     )
@@ -225,7 +230,7 @@
     return True
 
 
-def note_failure(
+def record_failure(
     context: ExecuteContext,
     request: OnlineRequest,
     progress: Progress,
@@ -234,7 +239,7 @@
 ) -> None:
     """Record a failed attempt in the request and in the routing state."""
     name = pick.link.instance.instance
-    progress.note_failure(name, failed)
+    progress.record_failure(name, failed)
     if failed.ran != 'not_run' and pick.link.session.closed:
         context.router.eject(name)
     context.log_event(
@@ -247,7 +252,7 @@
     )
 
 
-async def run_and_relay(
+async def relay_attempt(
     context: ExecuteContext,
     request: OnlineRequest,
     progress: Progress,
@@ -257,15 +262,15 @@
     attempt = run_attempt(context, request, progress, pick)
     async with aclosing(attempt) as events:  # type: ignore[type-var]
         async for event in events:
-            for part in absorb(context, request, progress, pick, event):
+            for part in handle_event(context, request, progress, pick, event):
                 yield part
-            if progress.raw_bytes > MAX_ANSWER_BYTES:
-                progress.failed = answer_too_large(request)
+            if progress.raw_size > MAX_ANSWER_BYTES:
+                progress.last_failure = answer_too_large(request)
                 progress.ran = 'ran'
                 return
 
 
-def absorb(
+def handle_event(
     context: ExecuteContext,
     request: OnlineRequest,
     progress: Progress,
@@ -277,26 +282,26 @@
         case Started():
             progress.started_s = context.clock.now()
         case Chunk():
-            part = relay_chunk(event, progress)
+            part = record_chunk(event, progress)
             if part is not None:
-                note_first_part(context, request, progress)
+                record_ttft(context, request, progress)
                 return [part]
         case Failed():
             text, tokens = unsent_text(progress, event)
-            note_failure(context, request, progress, pick, event)
+            record_failure(context, request, progress, pick, event)
             if text:
                 progress.add_text(text, tokens)
                 return [AnswerText(text, tokens)]
         case End():
-            progress.whole = True
-            note_end(context, request, progress, pick)
-            end = end_of(event, progress)
-            raw = b''.join(progress.raws)
+            progress.completed = True
+            record_completion(context, request, progress, pick)
+            end = answer_end(event, progress)
+            raw = b''.join(progress.raw_chunks)
             return [AnswerBytes(raw), end] if raw else [end]
     return []
 
 
-def note_first_part(
+def record_ttft(
     context: ExecuteContext,
     request: OnlineRequest,
     progress: Progress,
@@ -304,20 +309,22 @@
     """Record the caller's time to the first token once."""
     if len(progress.texts) > 1:
         return
-    taken_ms = (context.clock.now() - progress.begun_s) * MS_IN_S
-    context.metrics.observe_ms('ttft_ms', taken_ms, pool=request.pool)
+    elapsed_ms = (context.clock.now() - progress.received_s) * MS_IN_S
+    context.metrics.observe_ms('ttft_ms', elapsed_ms, pool=request.pool)
 
 
-def note_end(
+def record_completion(
     context: ExecuteContext,
     request: OnlineRequest,
     progress: Progress,
     pick: Pick,
 ) -> None:
     """Record a whole answer."""
-    taken_s = context.clock.now() - (progress.started_s or progress.begun_s)
-    context.router.note_success(pick.link.instance.instance)
-    context.note_service(request.pool, taken_s)
+    elapsed_s = context.clock.now() - (
+        progress.started_s or progress.received_s
+    )
+    context.router.record_success(pick.link.instance.instance)
+    context.record_service_time(request.pool, elapsed_s)
     context.metrics.count('requests_total', pool=request.pool, ran='ran')
     context.log_event(
         'request_ended',
@@ -328,7 +335,7 @@
     )
 
 
-def note_refusal(
+def record_refusal(
     context: ExecuteContext,
     request: OnlineRequest,
     refusal: Refusal,
@@ -353,22 +360,26 @@
     request: OnlineRequest,
 ) -> AsyncIterator[AnswerEvent]:
     """Yield the answer of one request; the last event ends or refuses it."""
-    context.budget(request.pool).deposit()
+    context.retry_budget(request.pool).deposit()
     progress = Progress(context.clock.now())
     refusal: Refusal | None = None
     while refusal is None:
-        progress.failed = Failed(request.request_id, 'not_run', NO_ENDPOINT)
-        pick = context.router.pick(request, progress.failed_on)
-        early = refuse_early(context, request, pick)
-        if early is None and pick is not None:
-            parts = run_and_relay(context, request, progress, pick)
+        progress.last_failure = Failed(
+            request.request_id, 'not_run', NO_ENDPOINT_REASON
+        )
+        pick = context.router.pick(request, progress.failed_endpoints)
+        early_refusal = refuse_early(context, request, pick)
+        if early_refusal is None and pick is not None:
+            parts = relay_attempt(context, request, progress, pick)
             async with aclosing(parts) as opened:  # type: ignore[type-var]
                 async for part in opened:
                     yield part
-        if progress.whole:
+        if progress.completed:
             return
-        refusal = await retry_or_refuse(context, request, progress, early)
-    note_refusal(context, request, refusal)
+        refusal = await retry_or_refuse(
+            context, request, progress, early_refusal
+        )
+    record_refusal(context, request, refusal)
     yield refusal
 
 
@@ -376,15 +387,15 @@
     context: ExecuteContext,
     request: OnlineRequest,
     progress: Progress,
-    early: Refusal | None,
+    early_refusal: Refusal | None,
 ) -> Refusal | None:
     """Wait for the next attempt, or return why there is none."""
-    if early is not None and not progress.attempt:
-        return early
-    if early is not None and early.status != HTTP_UNAVAILABLE:
-        return replace(early, ran=progress.ran)
+    if early_refusal is not None and not progress.attempt:
+        return early_refusal
+    if early_refusal is not None and early_refusal.status != HTTP_UNAVAILABLE:
+        return replace(early_refusal, ran=progress.ran)
     if await pause_before_retry(context, request, progress):
         return None
-    if early is not None:
-        return replace(early, ran=progress.ran)
-    return refusal_of(progress.failed, progress.ran)
+    if early_refusal is not None:
+        return replace(early_refusal, ran=progress.ran)
+    return refusal_for_failure(progress.last_failure, progress.ran)
--- a/src/quetzaldyke/request/fingerprint.py
+++ b/src/quetzaldyke/request/fingerprint.py
@@ -12,7 +12,7 @@
 import orjson
 
 # Fields that don't change what the engine computes.
-OMITTED: Final = frozenset(
+IGNORED_FIELDS: Final = frozenset(
     (
         'user',
         'metadata',
@@ -25,12 +25,12 @@
 )
 
 
-def canonical(body: bytes) -> bytes:
+def canonical_json(body: bytes) -> bytes:
     """Return the same bytes for equal JSON documents.
 
-    >>> canonical(b'{"b": 1, "a": 2}') == canonical(b'{"a":2,"b":1}')
+    >>> canonical_json(b'{"b": 1, "a": 2}') == canonical_json(b'{"a":2,"b":1}')
     True
-    >>> canonical(b'not json')
+    >>> canonical_json(b'not json')
     b'not json'
     """
     try:
@@ -39,9 +39,9 @@
         return body
     if isinstance(document, dict):
         document = {
-            name: content
-            for name, content in document.items()
-            if name not in OMITTED
+            name: value
+            for name, value in document.items()
+            if name not in IGNORED_FIELDS
         }
     return orjson.dumps(document, option=orjson.OPT_SORT_KEYS)
 
@@ -49,7 +49,7 @@
 def fingerprint(pool: str, path: str, body: bytes) -> str:
     """Return the fingerprint of a request to a pool."""
     digest = hashlib.sha256()
-    for part in (pool.encode(), path.encode(), canonical(body)):
+    for part in (pool.encode(), path.encode(), canonical_json(body)):
         digest.update(len(part).to_bytes(8, 'big'))
         digest.update(part)
     return digest.hexdigest()
--- a/src/quetzaldyke/request/limits.py
+++ b/src/quetzaldyke/request/limits.py
@@ -27,11 +27,11 @@
 REPORT_INTERVAL_S: Final = 1.0
 # Advice that is not renewed lapses, so that shares of entries that lost
 # their coordinator go back to even ones.
-ADVICE_LIFE_S: Final = 5.0
-USAGE_LIFE_S: Final = 5.0
+ADVICE_TTL_S: Final = 5.0
+USAGE_TTL_S: Final = 5.0
 # Part of each limit that is divided evenly whatever the demand, so that an
 # entry that was idle can serve its first requests before new advice.
-EVEN_PART: Final = 0.2
+EVEN_FRACTION: Final = 0.2
 # A bucket holds the tokens of this time.
 BURST_S: Final = 1.0
 CONCURRENCY_RETRY_MS: Final = 1000
@@ -50,8 +50,8 @@
     if not total:
         return dict.fromkeys(demand, even)
     return {
-        name: EVEN_PART * even + (1 - EVEN_PART) * asked / total
-        for name, asked in demand.items()
+        name: EVEN_FRACTION * even + (1 - EVEN_FRACTION) * requests / total
+        for name, requests in demand.items()
     }
 
 
@@ -80,7 +80,7 @@
     count_entries: Callable[[], int]
     usage: dict[str, Usage] = field(default_factory=dict)
     advice: dict[str, Advice] = field(default_factory=dict)
-    asked: Counter[str] = field(default_factory=Counter)
+    demand: Counter[str] = field(default_factory=Counter)
 
     def share_of(self, name: str) -> float:
         """Return the part of the organisation's limits that holds here."""
@@ -94,17 +94,17 @@
         organisation = self.find_organisation(name)
         if organisation is None:
             return Err(unknown_organisation())
-        self.asked[name] += 1
+        self.demand[name] += 1
         share = self.share_of(name)
         usage = self.usage_of(name, organisation, share)
         # Rounded up: a limit below the number of entries still allows one
         # request at each.
-        allowed = math.ceil(organisation.concurrency * share)
-        if usage.running >= allowed:
-            return Err(refuse('concurrency', CONCURRENCY_RETRY_MS))
+        max_running = math.ceil(organisation.concurrency * share)
+        if usage.running >= max_running:
+            return Err(limit_reached('concurrency', CONCURRENCY_RETRY_MS))
         if not usage.bucket.try_take():
             wait_ms = int(usage.bucket.wait_s() * MS_IN_S)
-            return Err(refuse('rate', max(1, wait_ms)))
+            return Err(limit_reached('rate', max(1, wait_ms)))
         usage.running += 1
         return Ok(None)
 
@@ -131,28 +131,30 @@
 
     def take_demand(self) -> dict[str, int]:
         """Return the requests asked for since the last call."""
-        asked = dict(self.asked)
+        demand = dict(self.demand)
         # A zero is reported once after the last request, so that the
         # coordinator sees the demand end.
-        self.asked = Counter(dict.fromkeys(self.active(asked), 0))
-        return asked
+        self.demand = Counter(
+            dict.fromkeys(self.active_organisations(demand), 0)
+        )
+        return demand
 
-    def active(self, asked: Mapping[str, int]) -> list[str]:
+    def active_organisations(self, demand: Mapping[str, int]) -> list[str]:
         """Return the organisations to report next time."""
         return [
             name
-            for name, count in asked.items()
-            if count or self.usage_running(name)
+            for name, count in demand.items()
+            if count or self.running_requests(name)
         ]
 
-    def usage_running(self, name: str) -> int:
+    def running_requests(self, name: str) -> int:
         """Return the running requests of an organisation."""
         usage = self.usage.get(name)
         return usage.running if usage else 0
 
     def apply_advice(self, shares: Mapping[str, float]) -> None:
         """Follow the coordinator's advice."""
-        until_s = self.read_now_s() + ADVICE_LIFE_S
+        until_s = self.read_now_s() + ADVICE_TTL_S
         for name, share in shares.items():
             bounded = min(1.0, max(0.0, share))
             self.advice[name] = Advice(bounded, until_s)
@@ -181,34 +183,34 @@
         default_factory=lambda: defaultdict(dict),
     )
 
-    def record_demand(self, entry: str, used: Mapping[str, int]) -> None:
+    def record_demand(self, entry: str, demand: Mapping[str, int]) -> None:
         """Keep the latest report of an entry."""
         now_s = self.read_now_s()
-        for name, count in used.items():
+        for name, count in demand.items():
             self.demand[name][entry] = (count, now_s)
 
     def compute_shares(
         self, entries: Collection[str]
     ) -> dict[str, dict[str, float]]:
         """Return for each live entry its shares of the organisations."""
-        oldest_s = self.read_now_s() - USAGE_LIFE_S
+        oldest_s = self.read_now_s() - USAGE_TTL_S
         by_entry: dict[str, dict[str, float]] = {name: {} for name in entries}
         for organisation, reports in list(self.demand.items()):
-            fresh = {
+            recent = {
                 entry: count
                 for entry, (count, at_s) in reports.items()
                 if at_s > oldest_s
             }
-            if not fresh:
+            if not recent:
                 self.demand.pop(organisation)
                 continue
-            asked = {entry: fresh.get(entry, 0) for entry in entries}
-            for entry, share in shares_by_demand(asked).items():
+            demand = {entry: recent.get(entry, 0) for entry in entries}
+            for entry, share in shares_by_demand(demand).items():
                 by_entry[entry][organisation] = share
         return by_entry
 
 
-def refuse(kind: str, retry_after_ms: int) -> Refusal:
+def limit_reached(kind: str, retry_after_ms: int) -> Refusal:
     """Return the refusal of a request over a limit."""
     return Refusal(
         HTTP_TOO_MANY,
--- a/src/quetzaldyke/request/model.py
+++ b/src/quetzaldyke/request/model.py
@@ -23,26 +23,26 @@
 CHAT_PATH: Final = '/v1/chat/completions'
 
 
-class Lenient(BaseModel):
+class PermissiveModel(BaseModel):
     """Body that keeps fields that only the engine understands."""
 
     model_config = ConfigDict(extra='allow', frozen=True)
 
 
-class ChatMessage(Lenient):
+class ChatMessage(PermissiveModel):
     """One message of a conversation."""
 
     role: str
     content: str | list[dict[str, object]] | None = None
 
 
-class StreamOptions(Lenient):
+class StreamOptions(PermissiveModel):
     """Options of a streamed answer."""
 
     include_usage: bool = False
 
 
-class GenerationBody(Lenient):
+class GenerationBody(PermissiveModel):
     """Fields that both generation paths share."""
 
     model: Annotated[str, Field(min_length=1)]
@@ -100,11 +100,11 @@
     try:
         return Ok(model.model_validate_json(body))
     except ModelError as exc:
-        found = exc.errors(include_input=False, include_url=False)
-    not_json = any(one['type'] == 'json_invalid' for one in found)
+        errors = exc.errors(include_input=False, include_url=False)
+    not_json = any(error['type'] == 'json_invalid' for error in errors)
     text = '; '.join(
-        f'{".".join(str(part) for part in one["loc"])}: {one["msg"]}'
-        for one in found
+        f'{".".join(str(part) for part in error["loc"])}: {error["msg"]}'
+        for error in errors
     )
     status = HTTP_BAD_REQUEST if not_json else HTTP_UNPROCESSABLE
     code = 'invalid_json' if not_json else 'invalid_body'
--- a/src/quetzaldyke/request/once.py
+++ b/src/quetzaldyke/request/once.py
@@ -40,7 +40,7 @@
     AnswerEvent,
     Refusal,
     incomplete,
-    ran_of,
+    parse_ran,
 )
 from quetzaldyke.request.outcome_record import (
     pack_outcome,
@@ -49,11 +49,11 @@
 
 UUID_VERSION: Final = 7
 # Codes of the ledger that speak of the key, not of the service.
-KEY_CODES: Final = frozenset(('expired_key', 'future_key'))
+KEY_ERROR_CODES: Final = frozenset(('expired_key', 'future_key'))
 # A UUIDv7 has its time in ms in the upper 48 of 128 bits.
-UUID_TIME_SHIFT: Final = 80
+UUID_TIMESTAMP_SHIFT: Final = 80
 # A key from further ahead than clocks differ would outlive its record.
-MAX_AHEAD_MS: Final = 60_000
+MAX_CLOCK_SKEW_MS: Final = 60_000
 CLAIM_RETRY_MS: Final = 1000
 # The ledger keeps outcomes that an outage held back; this is how often it
 # tries to write them.
@@ -74,19 +74,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OwnClaim:
+class HeldClaim:
     """A claim that this process made and must settle."""
 
     key_hash: str
     claim_id: str
 
 
-def created_ms_of(key: str) -> int | None:
+def uuid7_timestamp_ms(key: str) -> int | None:
     """Return the time in a UUIDv7, or None for any other text.
 
-    >>> created_ms_of('01890a5d-ac96-774b-bcce-b302099a8057')
+    >>> uuid7_timestamp_ms('01890a5d-ac96-774b-bcce-b302099a8057')
     1688096058518
-    >>> created_ms_of('order-17')
+    >>> uuid7_timestamp_ms('order-17')
     """
     try:
         parsed = uuid.UUID(key)
@@ -94,15 +94,15 @@
         return None
     if parsed.version != UUID_VERSION:
         return None
-    return parsed.int >> UUID_TIME_SHIFT
+    return parsed.int >> UUID_TIMESTAMP_SHIFT
 
 
-def check_key(
+def validate_key(
     context: OnceContext,
     key: str,
 ) -> Result[int, Refusal]:
     """Return the time of a usable key."""
-    created_ms = created_ms_of(key)
+    created_ms = uuid7_timestamp_ms(key)
     if created_ms is None:
         return Err(
             Refusal(
@@ -123,7 +123,7 @@
                 'unknown',
             ),
         )
-    if age_ms < -MAX_AHEAD_MS:
+    if age_ms < -MAX_CLOCK_SKEW_MS:
         return Err(
             Refusal(
                 HTTP_UNPROCESSABLE,
@@ -135,7 +135,7 @@
     return Ok(created_ms)
 
 
-def key_hash_of(request: OnlineRequest) -> str:
+def claim_key_hash(request: OnlineRequest) -> str:
     """Return the claim's key; the organisation is part of it."""
     digest = hashlib.sha256()
     for part in (request.organisation, request.pool, request.idempotency_key):
@@ -145,19 +145,21 @@
     return digest.hexdigest()
 
 
-def claim_refused(error: ClaimError) -> Refusal:
+def claim_failed(error: ClaimError) -> Refusal:
     """Return the refusal when a claim could not be made."""
-    status = HTTP_CONFLICT if error.code in KEY_CODES else HTTP_UNAVAILABLE
+    status = (
+        HTTP_CONFLICT if error.code in KEY_ERROR_CODES else HTTP_UNAVAILABLE
+    )
     return Refusal(
         status,
         error.code,
         'the claim of the request could not be recorded',
-        ran_of(error.kind),
+        parse_ran(error.kind),
         0 if status == HTTP_CONFLICT else CLAIM_RETRY_MS,
     )
 
 
-def still_running() -> Refusal:
+def run_in_progress() -> Refusal:
     """Return the answer while another run of the key has no outcome."""
     return Refusal(
         HTTP_CONFLICT,
@@ -183,21 +185,21 @@
     request: OnlineRequest,
 ) -> AsyncIterator[AnswerEvent]:
     """Yield the answer of the only run under the request's key."""
-    checked = check_key(context, request.idempotency_key)
+    checked = validate_key(context, request.idempotency_key)
     if isinstance(checked, Err):
         yield checked.err_value
         return
-    key_hash = key_hash_of(request)
+    key_hash = claim_key_hash(request)
     claimed = await context.ledger.claim_or_wait(key_hash, checked.ok_value)
     if isinstance(claimed, Err):
-        yield claim_refused(claimed.err_value)
+        yield claim_failed(claimed.err_value)
         return
     match claimed.ok_value:
         case Recorded(outcome=outcome):
             for event in recorded_events(request, outcome):
                 yield event
         case InProgress():
-            yield still_running()
+            yield run_in_progress()
         case Claimed(claim_id=claim_id):
             events = run_detached(context, request, key_hash, claim_id)
             async with aclosing(events) as opened:  # type: ignore[type-var]
@@ -223,40 +225,40 @@
     claim_id: str,
 ) -> AsyncIterator[AnswerEvent]:
     """Run a claimed request in a task that outlives its caller."""
-    sink, source = anyio.create_memory_object_stream[AnswerEvent](math.inf)
+    sender, receiver = anyio.create_memory_object_stream[AnswerEvent](math.inf)
     context.running += 1
     context.group.start_soon(
         run_claimed,
         context,
         request,
-        OwnClaim(key_hash, claim_id),
-        sink,
+        HeldClaim(key_hash, claim_id),
+        sender,
     )
-    with source:
-        async for event in source:
+    with receiver:
+        async for event in receiver:
             yield event
 
 
 async def run_claimed(
     context: OnceContext,
     request: OnlineRequest,
-    claim: OwnClaim,
-    sink: MemoryObjectSendStream[AnswerEvent],
+    claim: HeldClaim,
+    sender: MemoryObjectSendStream[AnswerEvent],
 ) -> None:
     """Run a claimed request to its end and record the outcome."""
     try:
-        events = await run_to_end(context, request, sink)
-        await settle(context, request, claim, events)
-        give(sink, events[-1])
+        events = await run_to_end(context, request, sender)
+        await record_or_release(context, request, claim, events)
+        send_to_caller(sender, events[-1])
     finally:
         context.running -= 1
-        sink.close()
+        sender.close()
 
 
 async def run_to_end(
     context: OnceContext,
     request: OnlineRequest,
-    sink: MemoryObjectSendStream[AnswerEvent],
+    sender: MemoryObjectSendStream[AnswerEvent],
 ) -> list[AnswerEvent]:
     """Run a request and return its events; the last one ends it.
 
@@ -267,7 +269,7 @@
         async for event in execute_online(context.execute, request):
             events.append(event)
             if not isinstance(event, AnswerEnd | Refusal):
-                give(sink, event)
+                send_to_caller(sender, event)
     except Exception as exc:
         context.execute.log_event(
             'run_failed',
@@ -279,21 +281,21 @@
     return events
 
 
-def give(
-    sink: MemoryObjectSendStream[AnswerEvent],
+def send_to_caller(
+    sender: MemoryObjectSendStream[AnswerEvent],
     event: AnswerEvent,
 ) -> None:
     """Hand an event to the caller if it is still there."""
     try:
-        sink.send_nowait(event)
+        sender.send_nowait(event)
     except anyio.BrokenResourceError:
         return
 
 
-async def settle(
+async def record_or_release(
     context: OnceContext,
     request: OnlineRequest,
-    claim: OwnClaim,
+    claim: HeldClaim,
     events: list[AnswerEvent],
 ) -> None:
     """Record the outcome, or give the claim back when nothing ran.
--- a/src/quetzaldyke/request/outcome.py
+++ b/src/quetzaldyke/request/outcome.py
@@ -28,7 +28,7 @@
 MS_IN_S: Final = 1000
 
 # Reasons of the entry and of the sidecar.
-LATE_REASONS: Final = frozenset(('deadline', 'deadline has passed'))
+DEADLINE_REASONS: Final = frozenset(('deadline', 'deadline has passed'))
 CRASHES_ENDPOINTS: Final = 'crashes_endpoints'
 
 ERROR_TYPES: Final[Mapping[int, str]] = {
@@ -116,29 +116,29 @@
 
 
 @dataclass(slots=True)
-class Parts:
+class AnswerParts:
     """Parts seen so far."""
 
     texts: list[str] = field(default_factory=list)
-    raws: list[bytes] = field(default_factory=list)
+    raw_chunks: list[bytes] = field(default_factory=list)
 
 
 async def collect(
     events: AsyncIterator[AnswerEvent],
 ) -> CompleteAnswer | Refusal:
     """Return the whole answer, or the refusal that ended it."""
-    parts = Parts()
+    parts = AnswerParts()
     async with aclosing(events) as open_events:  # type: ignore[type-var]
         async for event in open_events:
             match event:
                 case AnswerText(text=text):
                     parts.texts.append(text)
                 case AnswerBytes(raw=raw):
-                    parts.raws.append(raw)
+                    parts.raw_chunks.append(raw)
                 case Refusal():
                     return event
                 case AnswerEnd():
-                    raw = b''.join((*parts.raws, event.body))
+                    raw = b''.join((*parts.raw_chunks, event.body))
                     return CompleteAnswer(event, ''.join(parts.texts), raw)
     return incomplete('the answer ended without its end mark')
 
@@ -170,7 +170,7 @@
     )
 
 
-def late(ran: Ran) -> Refusal:
+def deadline_exceeded(ran: Ran) -> Refusal:
     """Return the refusal of a request past its deadline."""
     return Refusal(
         HTTP_TIMEOUT,
@@ -180,7 +180,7 @@
     )
 
 
-def crashing(ran: Ran) -> Refusal:
+def crashes_endpoints(ran: Ran) -> Refusal:
     """Return the refusal of a confirmed crashing request."""
     return Refusal(
         HTTP_UNPROCESSABLE,
@@ -190,10 +190,10 @@
     )
 
 
-def ran_of(text: str) -> Ran:
+def parse_ran(text: str) -> Ran:
     """Return a peer's statement; anything unexpected counts as unknown.
 
-    >>> ran_of('not_run'), ran_of('perhaps')
+    >>> parse_ran('not_run'), parse_ran('perhaps')
     ('not_run', 'unknown')
     """
     if text == 'not_run':
@@ -201,15 +201,15 @@
     return 'ran' if text == 'ran' else 'unknown'
 
 
-def refusal_of(failed: Failed, ran: Ran) -> Refusal:
+def refusal_for_failure(failed: Failed, ran: Ran) -> Refusal:
     """Return the caller's form of a failed request.
 
     `ran` covers all attempts, where `failed` speaks of the last one.
     """
     if failed.reason == CRASHES_ENDPOINTS:
-        return crashing(ran)
-    if failed.reason in LATE_REASONS:
-        return late(ran)
+        return crashes_endpoints(ran)
+    if failed.reason in DEADLINE_REASONS:
+        return deadline_exceeded(ran)
     if failed.reason == 'overloaded':
         return Refusal(
             HTTP_UNAVAILABLE,
--- a/src/quetzaldyke/request/outcome_record.py
+++ b/src/quetzaldyke/request/outcome_record.py
@@ -17,7 +17,7 @@
     AnswerEvent,
     AnswerText,
     Refusal,
-    ran_of,
+    parse_ran,
 )
 
 ANSWER: Final = 'answer'
@@ -34,9 +34,15 @@
 
 def pack_outcome(fingerprint: str, events: list[AnswerEvent]) -> bytes:
     """Return the stored form of an answer's events."""
-    text = ''.join(one.text for one in events if isinstance(one, AnswerText))
-    tokens = sum(one.tokens for one in events if isinstance(one, AnswerText))
-    raw = b''.join(one.raw for one in events if isinstance(one, AnswerBytes))
+    text = ''.join(
+        event.text for event in events if isinstance(event, AnswerText)
+    )
+    tokens = sum(
+        event.tokens for event in events if isinstance(event, AnswerText)
+    )
+    raw = b''.join(
+        event.raw for event in events if isinstance(event, AnswerBytes)
+    )
     last = events[-1]
     match last:
         case AnswerEnd():
@@ -69,5 +75,5 @@
         events.append(AnswerEnd(*fields))
     else:
         status, code, message, ran = fields
-        events.append(Refusal(status, code, message, ran_of(ran)))
+        events.append(Refusal(status, code, message, parse_ran(ran)))
     return OutcomeRecord(fingerprint, events)
--- a/src/quetzaldyke/request/prefixes.py
+++ b/src/quetzaldyke/request/prefixes.py
@@ -14,7 +14,7 @@
 from quetzaldyke.request.model import ChatBody, CompletionBody, GenerationBody
 
 BLOCK_WORDS: Final = 16
-NAME_CHARS: Final = 16
+HASH_CHARS: Final = 16
 # Longer prefixes would cost more to hash than the hint is worth.
 MAX_BLOCKS: Final = 64
 
@@ -23,13 +23,15 @@
     """Return the text of a request in the order in which engines read it."""
     match body:
         case ChatBody(messages=messages):
-            return '\n'.join(text_of(one.content) for one in messages)
+            return '\n'.join(
+                message_text(message.content) for message in messages
+            )
         case CompletionBody(prompt=prompt):
             return prompt
     return ''
 
 
-def text_of(content: str | Sequence[dict[str, object]] | None) -> str:
+def message_text(content: str | Sequence[dict[str, object]] | None) -> str:
     """Return the text of a message, given as text or as parts."""
     if content is None or isinstance(content, str):
         return content or ''
@@ -44,10 +46,10 @@
     """
     words = prompt.split(maxsplit=BLOCK_WORDS * MAX_BLOCKS)
     digest = hashlib.sha256()
-    names = []
+    hashes = []
     for end in range(BLOCK_WORDS, len(words) + 1, BLOCK_WORDS):
         block = ' '.join(words[end - BLOCK_WORDS : end])
-        glue = ' ' if end > BLOCK_WORDS else ''
-        digest.update(f'{glue}{block}'.encode())
-        names.append(digest.hexdigest()[:NAME_CHARS])
-    return tuple(names[:MAX_BLOCKS])
+        separator = ' ' if end > BLOCK_WORDS else ''
+        digest.update(f'{separator}{block}'.encode())
+        hashes.append(digest.hexdigest()[:HASH_CHARS])
+    return tuple(hashes[:MAX_BLOCKS])
--- a/src/quetzaldyke/request/retry.py
+++ b/src/quetzaldyke/request/retry.py
@@ -9,8 +9,8 @@
 from quetzaldyke.request.model import OnlineRequest
 from quetzaldyke.request.outcome import (
     CRASHES_ENDPOINTS,
-    LATE_REASONS,
-    ran_of,
+    DEADLINE_REASONS,
+    parse_ran,
 )
 
 # A request that fails everywhere for a reason of its own ends here even
@@ -18,13 +18,16 @@
 MAX_ATTEMPTS: Final = 8
 # Failures that no other endpoint would answer differently.
 ANSWER_TOO_LARGE: Final = 'the answer is too large'
-FINAL_REASONS: Final = LATE_REASONS | {CRASHES_ENDPOINTS, ANSWER_TOO_LARGE}
+NON_RETRYABLE_REASONS: Final = DEADLINE_REASONS | {
+    CRASHES_ENDPOINTS,
+    ANSWER_TOO_LARGE,
+}
 # A sidecar that leaves refuses new work; moving on is no sign of overload,
 # so it costs nothing of the retry budget.
-FREE_REASONS: Final = frozenset(('endpoint is leaving',))
+BUDGET_EXEMPT_REASONS: Final = frozenset(('endpoint is leaving',))
 
 
-def no_attempt() -> Failed:
+def not_attempted() -> Failed:
     """Return the failure of a request before its first attempt."""
     return Failed('', 'not_run', 'no attempt was made')
 
@@ -33,25 +36,25 @@
 class Progress:
     """What all attempts of one request have led to."""
 
-    begun_s: float = 0.0
+    received_s: float = 0.0
     started_s: float = 0.0
     attempt: int = 0
     texts: list[str] = field(default_factory=list)
     tokens: int = 0
     # Where the present attempt's part of the text begins.
-    attempt_texts: int = 0
+    attempt_text_start: int = 0
     attempt_tokens: int = 0
-    raws: list[bytes] = field(default_factory=list)
-    raw_bytes: int = 0
+    raw_chunks: list[bytes] = field(default_factory=list)
+    raw_size: int = 0
     ran: Ran = 'not_run'
-    failed_on: set[str] = field(default_factory=set)
-    failed: Failed = field(default_factory=no_attempt)
-    whole: bool = False
+    failed_endpoints: set[str] = field(default_factory=set)
+    last_failure: Failed = field(default_factory=not_attempted)
+    completed: bool = False
 
     def begin_attempt(self) -> None:
         """Count an attempt; it continues after the text so far."""
         self.attempt += 1
-        self.attempt_texts = len(self.texts)
+        self.attempt_text_start = len(self.texts)
         self.attempt_tokens = 0
 
     def add_text(self, text: str, tokens: int) -> None:
@@ -62,16 +65,16 @@
 
     def add_raw(self, raw: bytes) -> None:
         """Keep bytes of a plain service's answer."""
-        self.raws.append(raw)
-        self.raw_bytes += len(raw)
+        self.raw_chunks.append(raw)
+        self.raw_size += len(raw)
 
-    def note_failure(self, endpoint: str, failed: Failed) -> None:
+    def record_failure(self, endpoint: str, failed: Failed) -> None:
         """Add one failed attempt."""
-        self.failed = failed
-        self.failed_on.add(endpoint)
-        self.raws.clear()
-        self.raw_bytes = 0
-        self.ran = combine(self.ran, ran_of(failed.ran))
+        self.last_failure = failed
+        self.failed_endpoints.add(endpoint)
+        self.raw_chunks.clear()
+        self.raw_size = 0
+        self.ran = combine_ran(self.ran, parse_ran(failed.ran))
 
 
 def unsent_text(progress: Progress, failed: Failed) -> tuple[str, int]:
@@ -82,22 +85,22 @@
     """
     if not failed.partial_text:
         return '', 0
-    sent = ''.join(progress.texts[progress.attempt_texts :])
+    sent = ''.join(progress.texts[progress.attempt_text_start :])
     if not failed.partial_text.startswith(sent):
         return '', 0
     tokens = failed.partial_tokens - progress.attempt_tokens
     return failed.partial_text[len(sent) :], max(0, tokens)
 
 
-def combine(first: Ran, second: Ran) -> Ran:
+def combine_ran(first: Ran, second: Ran) -> Ran:
     """Return the statement that is true of two attempts together.
 
-    >>> combine('not_run', 'unknown'), combine('unknown', 'ran')
+    >>> combine_ran('not_run', 'unknown'), combine_ran('unknown', 'ran')
     ('unknown', 'ran')
     """
-    for certain in ('ran', 'unknown'):
-        if certain in {first, second}:
-            return ran_of(certain)
+    for value in ('ran', 'unknown'):
+        if value in {first, second}:
+            return parse_ran(value)
     return 'not_run'
 
 
@@ -107,13 +110,16 @@
     failed: Failed,
 ) -> bool:
     """Tell whether another attempt is safe, budget and time aside."""
-    if failed.reason in FINAL_REASONS or progress.attempt >= MAX_ATTEMPTS:
+    if (
+        failed.reason in NON_RETRYABLE_REASONS
+        or progress.attempt >= MAX_ATTEMPTS
+    ):
         return False
     if failed.ran == 'not_run':
         return True
     return request.idempotent
 
 
-def is_free(failed: Failed) -> bool:
+def is_budget_exempt(failed: Failed) -> bool:
     """Tell whether the retry is left out of the budget."""
-    return failed.ran == 'not_run' and failed.reason in FREE_REASONS
+    return failed.ran == 'not_run' and failed.reason in BUDGET_EXEMPT_REASONS
--- a/src/quetzaldyke/request/router.py
+++ b/src/quetzaldyke/request/router.py
@@ -20,14 +20,18 @@
 from quetzaldyke.parts.timers import Clock
 from quetzaldyke.process.fleet import Fleet, SidecarLink
 from quetzaldyke.request.model import OnlineRequest
-from quetzaldyke.request.routing import Candidate, Preference, choose
+from quetzaldyke.request.routing import (
+    Candidate,
+    LocalityPreference,
+    choose_candidate,
+)
 from quetzaldyke.version.configuration import Configuration, Pool
 
 EJECTION_BASE_S: Final = 1.0
 EJECTION_CAP_S: Final = 30.0
-EJECTION: Final = BackoffOptions(EJECTION_BASE_S, EJECTION_CAP_S)
+EJECTION_BACKOFF: Final = BackoffOptions(EJECTION_BASE_S, EJECTION_CAP_S)
 # Work is borrowed only once the own pool has no free slot.
-SATURATED: Final = 1.0
+SATURATION_RATIO: Final = 1.0
 DEFAULT_POOL: Final = Pool()
 
 
@@ -64,7 +68,7 @@
     holder: ConfigurationHolder
     clock: Clock
     random: Random = field(default_factory=Random)
-    at_report: dict[str, int] = field(default_factory=dict)
+    running_at_report: dict[str, int] = field(default_factory=dict)
     ejections: dict[str, Ejection] = field(default_factory=dict)
     borrowed: Counter[tuple[str, str]] = field(default_factory=Counter)
 
@@ -72,7 +76,7 @@
         """Remember how many own requests the report already counts."""
         link = self.fleet.link_of(session)
         if link is not None and isinstance(message, Report):
-            self.at_report[link.instance.instance] = link.running_online
+            self.running_at_report[link.instance.instance] = link.running_online
 
     def pick(
         self,
@@ -84,10 +88,10 @@
         Endpoints that already failed the request are used again only when
         no other is left.
         """
-        links = self.serving(request.pool)
+        links = self.links_serving(request.pool)
         chosen = self.choose_link(request, links, avoided)
-        if chosen is None or chosen.load >= chosen.limit * SATURATED:
-            lent = self.lent_links(request.pool)
+        if chosen is None or chosen.load >= chosen.limit * SATURATION_RATIO:
+            lent = self.borrowable_links(request.pool)
             borrowed = self.choose_link(request, lent, avoided)
             if borrowed is not None:
                 return borrowed
@@ -101,15 +105,15 @@
     ) -> Pick | None:
         """Choose among links, leaving out the avoided names."""
         by_name = {
-            one.instance.instance: one
-            for one in links
-            if one.instance.instance not in avoided
+            link.instance.instance: link
+            for link in links
+            if link.instance.instance not in avoided
         }
         healthy = self.not_ejected(by_name)
         pool = self.pool_of(request.pool)
-        chosen = choose(
-            [self.candidate(one, request) for one in healthy.values()],
-            Preference(self.fleet.own.failure_domain, pool.spill_ratio),
+        chosen = choose_candidate(
+            [self.candidate(link, request) for link in healthy.values()],
+            LocalityPreference(self.fleet.own.failure_domain, pool.spill_ratio),
             self.random,
         )
         if chosen is None:
@@ -120,11 +124,13 @@
         """Return the configuration of a pool."""
         return self.holder.current.pools.get(name, DEFAULT_POOL)
 
-    def serving(self, pool: str) -> list[SidecarLink]:
+    def links_serving(self, pool: str) -> list[SidecarLink]:
         """Return the usable links whose endpoint serves the pool's model."""
-        wanted = self.pool_of(pool)
+        pool_config = self.pool_of(pool)
         return [
-            link for link in self.fleet.links_of(pool) if serves(link, wanted)
+            link
+            for link in self.fleet.links_of(pool)
+            if serves(link, pool_config)
         ]
 
     def candidate(
@@ -149,10 +155,10 @@
         report = link.report
         if report is None:
             return link.running_online
-        counted = self.at_report.get(link.instance.instance, 0)
-        since = link.running_online - counted
+        in_report = self.running_at_report.get(link.instance.instance, 0)
+        since_report = link.running_online - in_report
         reported = report.online_running + report.online_queued
-        return max(link.running_online, reported + since)
+        return max(link.running_online, reported + since_report)
 
     def not_ejected(
         self,
@@ -172,26 +178,26 @@
         """Keep new requests from an endpoint that failed one."""
         ejection = self.ejections.setdefault(name, Ejection())
         ejection.failures += 1
-        pause = ceiling_s(EJECTION, ejection.failures)
+        pause = ceiling_s(EJECTION_BACKOFF, ejection.failures)
         ejection.until_s = self.clock.now() + pause
 
-    def note_success(self, name: str) -> None:
+    def record_success(self, name: str) -> None:
         """Forget the failures of an endpoint that answered."""
         self.ejections.pop(name, None)
 
-    def lent_links(self, borrower: str) -> list[SidecarLink]:
+    def borrowable_links(self, borrower: str) -> list[SidecarLink]:
         """Return the links of other pools that may run online work now."""
         pools = self.holder.current.pools
         if borrower not in pools:
             return []
-        found: list[SidecarLink] = []
+        links: list[SidecarLink] = []
         for rule in self.holder.current.lending:
             if rule.borrower != borrower or rule.work != 'online':
                 continue
             if rule.when != 'idle':
                 continue
-            found.extend(self.idle_links(borrower, rule.lender, rule.max_share))
-        return found
+            links.extend(self.idle_links(borrower, rule.lender, rule.max_share))
+        return links
 
     def idle_links(
         self,
@@ -200,15 +206,21 @@
         max_share: float,
     ) -> list[SidecarLink]:
         """Return a lender's links with room within the rule's share."""
-        wanted = self.pool_of(borrower)
+        pool_config = self.pool_of(borrower)
         links = [
-            link for link in self.fleet.links_of(lender) if serves(link, wanted)
+            link
+            for link in self.fleet.links_of(lender)
+            if serves(link, pool_config)
         ]
         slots = sum(self.candidate(link).limit for link in links)
         if self.borrowed[borrower, lender] + 1 > max_share * slots:
             return []
-        spill = self.pool_of(lender).spill_ratio
-        return [link for link in links if self.candidate(link).score < spill]
+        max_load_ratio = self.pool_of(lender).spill_ratio
+        return [
+            link
+            for link in links
+            if self.candidate(link).load_ratio < max_load_ratio
+        ]
 
     @contextmanager
     def borrowing(self, request: OnlineRequest, pick: Pick) -> Iterator[None]:
@@ -229,19 +241,19 @@
     if report is None or request is None or not request.prefixes:
         return 0
     cached = frozenset(report.prefixes)
-    known = [
+    matches = [
         number
         for number, name in enumerate(request.prefixes, start=1)
         if name in cached
     ]
-    return max(known, default=0)
+    return max(matches, default=0)
 
 
-def serves(link: SidecarLink, wanted: Pool) -> bool:
+def serves(link: SidecarLink, pool_config: Pool) -> bool:
     """Tell whether an endpoint reports the model that a pool needs."""
     report = link.report
-    if report is None or wanted.kind == 'service':
+    if report is None or pool_config.kind == 'service':
         return report is not None
-    if wanted.adapter and report.adapter != wanted.adapter:
+    if pool_config.adapter and report.adapter != pool_config.adapter:
         return False
-    return not wanted.model or report.model in {'', wanted.model}
+    return not pool_config.model or report.model in {'', pool_config.model}
--- a/src/quetzaldyke/request/routing.py
+++ b/src/quetzaldyke/request/routing.py
@@ -19,15 +19,15 @@
 AFFINITY_BOUND: Final = 1.25
 # An endpoint is slow when its time to first token is over this multiple of
 # the pool's median; queueing alone stays below it on even load.
-SLOW_RATIO: Final = 2.0
+SLOW_TTFT_RATIO: Final = 2.0
 # Differences below this are noise of scheduling, not a slow endpoint.
-SLOW_MARGIN_MS: Final = 20.0
+SLOW_TTFT_MARGIN_MS: Final = 20.0
 # Median and ratio say nothing with fewer measured endpoints.
 MIN_MEASURED: Final = 3
 # At most this share of a pool is down-weighted, so that the others are not
 # overloaded by a wrong verdict.
-MAX_SLOW_PART: Final = 3
-MAX_SLOW_FACTOR: Final = 8.0
+SLOW_SHARE_DIVISOR: Final = 3
+MAX_SLOW_PENALTY: Final = 8.0
 # Share of choices that ignore weights, so that a slow endpoint which has
 # recovered is measured again.
 PROBE_SHARE: Final = 0.02
@@ -45,53 +45,53 @@
     prefix_blocks: int = 0  # cached blocks of the request's prompt
 
     @property
-    def score(self) -> float:
+    def load_ratio(self) -> float:
         """Return the load as a share of what the endpoint can run."""
         return self.load / max(1, self.limit)
 
 
 @dataclass(frozen=True, slots=True)
-class Preference:
+class LocalityPreference:
     """Where the entry stands and when it looks further."""
 
     failure_domain: str
     spill_ratio: float
 
 
-def slow_factors(candidates: Sequence[Candidate]) -> dict[str, float]:
+def slow_penalties(candidates: Sequence[Candidate]) -> dict[str, float]:
     """Return how much busier slow endpoints are made to look.
 
     >>> pool = [Candidate(f'e{ms}', 'a', 0, 8, ms) for ms in (50, 52, 54, 400)]
-    >>> slow_factors(pool)
+    >>> slow_penalties(pool)
     {'e400': 7.547169811320755}
     """
-    measured = [one for one in candidates if one.ttft_ms > 0]
+    measured = [candidate for candidate in candidates if candidate.ttft_ms > 0]
     if len(measured) < MIN_MEASURED:
         return {}
-    median_ms = statistics.median(one.ttft_ms for one in measured)
+    median_ms = statistics.median(candidate.ttft_ms for candidate in measured)
     slow = [
-        one
-        for one in measured
-        if one.ttft_ms > median_ms * SLOW_RATIO
-        and one.ttft_ms > median_ms + SLOW_MARGIN_MS
+        candidate
+        for candidate in measured
+        if candidate.ttft_ms > median_ms * SLOW_TTFT_RATIO
+        and candidate.ttft_ms > median_ms + SLOW_TTFT_MARGIN_MS
     ]
-    slow.sort(key=lambda one: one.ttft_ms, reverse=True)
-    most = len(candidates) // MAX_SLOW_PART
+    slow.sort(key=lambda candidate: candidate.ttft_ms, reverse=True)
+    max_slow = len(candidates) // SLOW_SHARE_DIVISOR
     return {
-        one.name: min(MAX_SLOW_FACTOR, one.ttft_ms / median_ms)
-        for one in slow[:most]
+        candidate.name: min(MAX_SLOW_PENALTY, candidate.ttft_ms / median_ms)
+        for candidate in slow[:max_slow]
     }
 
 
-def weighted(candidate: Candidate, factors: dict[str, float]) -> float:
+def weighted_load(candidate: Candidate, penalties: dict[str, float]) -> float:
     """Return the score after one more request, scaled for slow endpoints."""
-    after = (candidate.load + 1) / max(1, candidate.limit)
-    return after * factors.get(candidate.name, 1.0)
+    next_load_ratio = (candidate.load + 1) / max(1, candidate.limit)
+    return next_load_ratio * penalties.get(candidate.name, 1.0)
 
 
-def two_choices(
+def power_of_two_choices(
     candidates: Sequence[Candidate],
-    factors: dict[str, float],
+    penalties: dict[str, float],
     random: Random,
 ) -> Candidate:
     """Return the better one of two drawn endpoints."""
@@ -100,61 +100,65 @@
     if random.random() < PROBE_SHARE:
         return random.choice(candidates)
     pair = random.sample(candidates, 2)
-    return min(pair, key=lambda one: weighted(one, factors))
+    return min(pair, key=lambda candidate: weighted_load(candidate, penalties))
 
 
-def with_prefix(
+def choose_by_prefix(
     candidates: Sequence[Candidate],
-    factors: dict[str, float],
+    penalties: dict[str, float],
 ) -> Candidate | None:
     """Return the holder of the longest prefix within the bound."""
-    total = sum(one.load for one in candidates) + 1
+    total = sum(candidate.load for candidate in candidates) + 1
     bound = math.ceil(AFFINITY_BOUND * total / len(candidates))
     holders = [
-        one
-        for one in candidates
-        if one.prefix_blocks
-        and one.load + 1 <= bound
-        and one.score < 1
-        and one.name not in factors
+        candidate
+        for candidate in candidates
+        if candidate.prefix_blocks
+        and candidate.load + 1 <= bound
+        and candidate.load_ratio < 1
+        and candidate.name not in penalties
     ]
     return min(
         holders,
-        key=lambda one: (-one.prefix_blocks, one.score),
+        key=lambda candidate: (-candidate.prefix_blocks, candidate.load_ratio),
         default=None,
     )
 
 
-def choose_among(
+def choose_any_domain(
     candidates: Sequence[Candidate],
-    factors: dict[str, float],
+    penalties: dict[str, float],
     random: Random,
 ) -> Candidate:
     """Choose without regard to failure domains."""
-    holder = with_prefix(candidates, factors)
+    holder = choose_by_prefix(candidates, penalties)
     if holder is not None:
         return holder
-    return two_choices(candidates, factors, random)
+    return power_of_two_choices(candidates, penalties, random)
 
 
-def choose(
+def choose_candidate(
     candidates: Sequence[Candidate],
-    preference: Preference,
+    preference: LocalityPreference,
     random: Random,
 ) -> Candidate | None:
     """Return the endpoint for a request; None without candidates."""
     if not candidates:
         return None
-    factors = slow_factors(candidates)
-    near = [
-        one
-        for one in candidates
-        if one.failure_domain == preference.failure_domain
+    penalties = slow_penalties(candidates)
+    same_domain = [
+        candidate
+        for candidate in candidates
+        if candidate.failure_domain == preference.failure_domain
     ]
-    if not near:
-        return choose_among(candidates, factors, random)
-    local = choose_among(near, factors, random)
-    if weighted(local, factors) <= preference.spill_ratio:
+    if not same_domain:
+        return choose_any_domain(candidates, penalties, random)
+    local = choose_any_domain(same_domain, penalties, random)
+    if weighted_load(local, penalties) <= preference.spill_ratio:
         return local
-    wider = choose_among(candidates, factors, random)
-    return min(local, wider, key=lambda one: weighted(one, factors))
+    any_domain = choose_any_domain(candidates, penalties, random)
+    return min(
+        local,
+        any_domain,
+        key=lambda candidate: weighted_load(candidate, penalties),
+    )
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -12,7 +12,7 @@
 from quetzaldyke.parts.retry_budget import RetryBudget
 from quetzaldyke.parts.tokens import TokenBucket
 from quetzaldyke.request.limits import (
-    ADVICE_LIFE_S,
+    ADVICE_TTL_S,
     Coordinator,
     Limits,
     shares_by_demand,
@@ -120,14 +120,14 @@
     )
 
 
-def admitted(limits: Limits, wanted: int) -> int:
+def count_admitted(limits: Limits, wanted: int) -> int:
     """Return how many of the wanted requests run at once."""
     return sum(limits.admit('barf').is_ok() for _ in range(wanted))
 
 
 def test_even_share_without_advice() -> None:
     """Guards against an entry that uses the whole limit of the fleet."""
-    assert admitted(make_limits(ManualTime()), 10) == 2
+    assert count_admitted(make_limits(ManualTime()), 10) == 2
 
 
 def test_released_places_are_used_again_up_to_the_rate() -> None:
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize(
     ('later_s', 'expected'),
-    [(0.0, 3), (ADVICE_LIFE_S, 2)],
+    [(0.0, 3), (ADVICE_TTL_S, 2)],
 )
 def test_advice_holds_until_it_lapses(later_s: float, expected: int) -> None:
     """Guards against shares of a coordinator that is gone."""
@@ -151,7 +151,7 @@
     limits = make_limits(time)
     limits.apply_advice({'barf': 0.75})
     time.now_s = later_s
-    assert admitted(limits, 10) == expected
+    assert count_admitted(limits, 10) == expected
 
 
 def test_refusal_says_when_to_come_back() -> None:
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -27,7 +27,7 @@
 from quetzaldyke.request.prefixes import prefix_hashes
 from quetzaldyke.request.retry import (
     Progress,
-    combine,
+    combine_ran,
     may_retry,
     unsent_text,
 )
@@ -91,7 +91,7 @@
     return OnlineRequest(**{**fields, **more})
 
 
-class Bench:
+class RouterRig:
     """A router over links that are not connected to anything."""
 
     def __init__(self, config: Configuration | None = None) -> None:
@@ -116,7 +116,9 @@
         self.fleet.links[name] = link
         return link
 
-    def picked(self, request: OnlineRequest | None = None) -> set[str]:
+    def picked_endpoints(
+        self, request: OnlineRequest | None = None
+    ) -> set[str]:
         """Return the endpoints that 60 choices lead to."""
         names = set()
         for _ in range(60):
@@ -127,15 +129,15 @@
 
 def test_ejected_endpoint_rests_and_comes_back() -> None:
     """Guards against new requests for an endpoint that just broke."""
-    bench = Bench()
-    bench.add('good')
-    bench.add('bad')
-    bench.router.eject('bad')
-    assert bench.picked() == {'good'}
-    bench.router.eject('good')
-    assert bench.picked() == {'good', 'bad'}
-    bench.now_s = 1.5
-    assert bench.picked() == {'good', 'bad'}
+    rig = RouterRig()
+    rig.add('good')
+    rig.add('bad')
+    rig.router.eject('bad')
+    assert rig.picked_endpoints() == {'good'}
+    rig.router.eject('good')
+    assert rig.picked_endpoints() == {'good', 'bad'}
+    rig.now_s = 1.5
+    assert rig.picked_endpoints() == {'good', 'bad'}
 
 
 @pytest.mark.parametrize(
@@ -149,30 +151,30 @@
 )
 def test_unusable_endpoint_is_never_chosen(more: dict[str, Any]) -> None:
     """Guards against work for an endpoint that can't or must not run it."""
-    bench = Bench()
-    bench.add('only', **more)
-    assert bench.picked() == {''}
+    rig = RouterRig()
+    rig.add('only', **more)
+    assert rig.picked_endpoints() == {''}
 
 
 def test_load_counts_what_was_sent_since_the_report() -> None:
     """Guards against herding to the endpoint whose last report was idle."""
-    bench = Bench()
-    link = bench.add('one', online_running=3, online_queued=1)
-    bench.router.at_report['one'] = 2
+    rig = RouterRig()
+    link = rig.add('one', online_running=3, online_queued=1)
+    rig.router.running_at_report['one'] = 2
     link.running_online = 5
-    assert bench.router.load_of(link) == 7
+    assert rig.router.load_of(link) == 7
     link.running_online = 0
-    assert bench.router.load_of(link) == 2
+    assert rig.router.load_of(link) == 2
 
 
 def test_longest_cached_prefix_wins() -> None:
     """Guards against a hint that ignores how much is cached."""
     names = prefix_hashes('word ' * 64)
-    bench = Bench()
-    bench.add('cold')
-    bench.add('short', prefixes=[names[0]])
-    bench.add('long', prefixes=[names[0], names[2]])
-    assert bench.picked(make_request(prefixes=names)) == {'long'}
+    rig = RouterRig()
+    rig.add('cold')
+    rig.add('short', prefixes=[names[0]])
+    rig.add('long', prefixes=[names[0], names[2]])
+    assert rig.picked_endpoints(make_request(prefixes=names)) == {'long'}
 
 
 @given(words=st.integers(0, 100))
@@ -205,21 +207,21 @@
         max_share=share,
     )
     pools = {'orders': Pool(model='model'), 'spare': Pool(model='model')}
-    bench = Bench(configuration(pools=pools, lending=(rule,)))
-    bench.add('own', online_running=4)
-    bench.add('lender', 'spare', online_running=lender_load)
-    bench.router.borrowed['orders', 'spare'] = borrowed
-    assert bench.picked() == {expected}
+    rig = RouterRig(configuration(pools=pools, lending=(rule,)))
+    rig.add('own', online_running=4)
+    rig.add('lender', 'spare', online_running=lender_load)
+    rig.router.borrowed['orders', 'spare'] = borrowed
+    assert rig.picked_endpoints() == {expected}
 
 
 def test_idle_pool_borrows_nothing() -> None:
     """Guards against borrowing while the own pool has room."""
     rule = LendingRule(borrower='orders', lender='spare', work='online')
     pools = {'orders': Pool(model='model'), 'spare': Pool(model='model')}
-    bench = Bench(configuration(pools=pools, lending=(rule,)))
-    bench.add('own', online_running=3)
-    bench.add('lender', 'spare')
-    assert bench.picked() == {'own'}
+    rig = RouterRig(configuration(pools=pools, lending=(rule,)))
+    rig.add('own', online_running=3)
+    rig.add('lender', 'spare')
+    assert rig.picked_endpoints() == {'own'}
 
 
 def test_next_attempt_continues_after_the_text_so_far() -> None:
@@ -253,16 +255,16 @@
     code: str | None,
 ) -> None:
     """Guards against waiting past the deadline, and needless refusals."""
-    bench = Bench()
-    link = bench.add('one')
+    rig = RouterRig()
+    link = rig.add('one')
     context = ExecuteContext(
-        bench.router,
-        bench.router.clock,
+        rig.router,
+        rig.router.clock,
         DeadlineQueue(),
         cast(Any, None),
         Metrics(),
         SuspectBook(),
-        service_s={'orders': 6.0},
+        mean_service_s={'orders': 6.0},
     )
     request = make_request(deadline_s=remaining_s)
     refusal = refuse_early(context, request, Pick(link, load, 4))
@@ -270,10 +272,10 @@
     assert refusal is None or refusal.ran == 'not_run'
 
 
-rans = st.sampled_from(['not_run', 'unknown', 'ran'])
+ran_values = st.sampled_from(['not_run', 'unknown', 'ran'])
 
 
-@given(first=rans, second=rans, idempotent=st.booleans())
+@given(first=ran_values, second=ran_values, idempotent=st.booleans())
 def test_retries_never_risk_a_second_run(
     first: Any,
     second: Any,
@@ -284,12 +286,12 @@
     progress = Progress()
     for ran in (first, second):
         failed = Failed('r1', ran, 'broken')
-        progress.note_failure('e1', failed)
+        progress.record_failure('e1', failed)
         allowed = may_retry(request, progress, failed)
         assert allowed is (idempotent or ran == 'not_run')
     both = {first, second}
-    assert (combine(first, second) == 'not_run') is (both == {'not_run'})
-    assert progress.ran == combine(first, second)
+    assert (combine_ran(first, second) == 'not_run') is (both == {'not_run'})
+    assert progress.ran == combine_ran(first, second)
 
 
 @given(
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -12,13 +12,13 @@
 from quetzaldyke.request.routing import (
     AFFINITY_BOUND,
     Candidate,
-    Preference,
-    choose,
-    slow_factors,
-    with_prefix,
+    LocalityPreference,
+    choose_candidate,
+    slow_penalties,
+    choose_by_prefix,
 )
 
-NEAR = Preference('a', 0.8)
+PREFERENCE = LocalityPreference('a', 0.8)
 
 candidates = st.lists(
     st.builds(
@@ -31,44 +31,46 @@
         prefix_blocks=st.integers(0, 3),
     ),
     max_size=12,
-    unique_by=lambda one: one.name,
+    unique_by=lambda candidate: candidate.name,
 )
 
 
 @given(pool=candidates, seed=st.integers(0, 99))
 def test_choice_is_a_candidate(pool: list[Candidate], seed: int) -> None:
     """Guards against no choice where an endpoint could take the request."""
-    chosen = choose(pool, NEAR, Random(seed))
+    chosen = choose_candidate(pool, PREFERENCE, Random(seed))
     assert (chosen in pool) if pool else (chosen is None)
 
 
 @given(pool=candidates)
 def test_at_most_a_third_is_down_weighted(pool: list[Candidate]) -> None:
     """Guards against a wrong verdict that overloads the few others."""
-    assert len(slow_factors(pool)) * 3 <= len(pool)
+    assert len(slow_penalties(pool)) * 3 <= len(pool)
 
 
 @given(pool=candidates)
 def test_prefix_never_overloads(pool: list[Candidate]) -> None:
     """Guards against a popular prefix that piles up on one endpoint."""
-    holder = with_prefix(pool, {}) if pool else None
+    holder = choose_by_prefix(pool, {}) if pool else None
     if holder is None:
         return
-    mean = (sum(one.load for one in pool) + 1) / len(pool)
+    mean = (sum(candidate.load for candidate in pool) + 1) / len(pool)
     assert holder.prefix_blocks
     assert holder.load < holder.limit
     assert holder.load + 1 <= max(1, mean * AFFINITY_BOUND + 1)
 
 
-def counted(
+def count_choices(
     pool: list[Candidate],
-    preference: Preference = NEAR,
+    preference: LocalityPreference = PREFERENCE,
     tries: int = 2000,
 ) -> Counter[str]:
     """Return how often each endpoint is chosen."""
     random = Random(7)
-    chosen = (choose(pool, preference, random) for _ in range(tries))
-    return Counter(one.name for one in chosen if one is not None)
+    chosen = (choose_candidate(pool, preference, random) for _ in range(tries))
+    return Counter(
+        candidate.name for candidate in chosen if candidate is not None
+    )
 
 
 def test_local_endpoints_go_first_until_they_are_busy() -> None:
@@ -76,8 +78,8 @@
     far = [Candidate(f'far-{index}', 'b', 0, 8) for index in range(3)]
     idle = [Candidate(f'near-{index}', 'a', 2, 8) for index in range(3)]
     full = [Candidate(f'near-{index}', 'a', 8, 8) for index in range(3)]
-    assert not [name for name in counted(far + idle) if 'far' in name]
-    spilled = counted(far + full)
+    assert not [name for name in count_choices(far + idle) if 'far' in name]
+    spilled = count_choices(far + full)
     assert sum(spilled[f'far-{index}'] for index in range(3)) > 1500
 
 
@@ -87,7 +89,7 @@
         Candidate(f'e{index}', 'a', load, 32)
         for index, load in enumerate((0, 10, 10, 10))
     ]
-    found = counted(pool, Preference('a', 1.0))
+    found = count_choices(pool, LocalityPreference('a', 1.0))
     assert found['e0'] > 900
 
 
@@ -95,7 +97,7 @@
     """Guards against a slow endpoint at full weight, or never measured."""
     pool = [Candidate(f'e{index}', 'a', 2, 16, 50) for index in range(5)]
     pool.append(Candidate('slow', 'a', 2, 16, 600))
-    found = counted(pool, tries=10_000)
+    found = count_choices(pool, tries=10_000)
     assert 0 < found['slow'] < 100
 
 
@@ -103,7 +105,7 @@
     """Guards against a hint that has no effect."""
     pool = [Candidate(f'e{index}', 'a', 2, 16) for index in range(5)]
     pool.append(Candidate('holder', 'a', 1, 16, prefix_blocks=2))
-    assert counted(pool) == {'holder': 2000}
+    assert count_choices(pool) == {'holder': 2000}
 
 
 @pytest.mark.parametrize('load', [16, 17, 40])
@@ -111,4 +113,4 @@
     """Guards against waiting at a holder while others are idle."""
     pool = [Candidate(f'e{index}', 'a', 1, 16) for index in range(5)]
     pool.append(Candidate('holder', 'a', load, 16, prefix_blocks=2))
-    assert counted(pool)['holder'] < 30
+    assert count_choices(pool)['holder'] < 30
