--- a/src/quetzaldyke/request/__init__.py
+++ b/src/quetzaldyke/request/__init__.py
@@ -1,1 +1,1 @@
-"""State that lives for one request."""
+"""Routes, admits and runs the requests of one entry."""
--- a/src/quetzaldyke/request/attempt.py
+++ b/src/quetzaldyke/request/attempt.py
@@ -1,7 +1,7 @@
-"""Runs one attempt of a request over one sidecar link.
+"""Runs one attempt of an online request or batch item over a sidecar link.
 
-Online requests and batch items share it. It keeps the link's in-flight
-counts and the time to first token that routing uses.
+Updates the link's in-flight counts and its mean time to first token, which
+routing uses.
 """
 
 from __future__ import annotations
@@ -21,14 +21,15 @@
 from quetzaldyke.process.fleet import SidecarLink
 
 MS_IN_S: Final = 1000
-# Weight of the newest time to first token; about ten samples count.
+# Weight of the newest sample in the moving average of the time to first
+# token; the average spans about ten samples.
 TTFT_WEIGHT: Final = 0.1
 
 OnBegin = Callable[[CallTable, Call], None]
 
 
 def add_running(link: SidecarLink, submit: Submit, change: int) -> None:
-    """Count a request in or out of the link."""
+    """Add `change` to the link's count of running requests of its kind."""
     if submit.work == 'batch':
         link.running_batch += change
     else:
@@ -51,7 +52,7 @@
 ) -> AsyncIterator[CallEvent]:
     """Yield the events of one attempt; the last is `End` or `Failed`.
 
-    The request is cancelled at the sidecar when the reader stops early.
+    Closing the iterator early cancels the request at the sidecar.
     """
     started_s = read_now_s()
     awaiting_first = submit.work == 'online'
@@ -71,5 +72,5 @@
 
 
 def proves_receipt(event: CallEvent) -> bool:
-    """Tell whether an event proves that the endpoint got the request."""
+    """Return whether the event proves that the endpoint got the request."""
     return isinstance(event, Started | Chunk | End)
--- a/src/quetzaldyke/request/execute.py
+++ b/src/quetzaldyke/request/execute.py
@@ -1,8 +1,8 @@
 """Runs one online request: routing, attempts, retries and resumption.
 
-A stream that breaks is continued on another endpoint after the text that
-the caller already has. When that is not possible the events end with a
-refusal, never with a short answer that looks whole.
+A broken stream is resumed on another endpoint after the text that the caller
+already has. If that is not possible the events end with a refusal, so that a
+truncated answer never looks complete.
 """
 
 from __future__ import annotations
@@ -54,17 +54,17 @@
 from quetzaldyke.request.router import Pick, Router
 
 RETRY_AFTER_MS: Final = 1000
-# Answers of plain services are held until their status is known.
+# Answers of plain services are buffered until their status is known.
 MAX_ANSWER_BYTES: Final = 16_777_216
-NO_ENDPOINT_REASON: Final = 'no endpoint is available'
-# Weight of the newest request in the mean time that a request takes.
+NO_ENDPOINT: Final = 'no endpoint is available'
+# Weight of the newest sample in the moving average of the service time.
 SERVICE_TIME_WEIGHT: Final = 0.05
 RETRY_BACKOFF: Final = BackoffOptions(cap_s=0.5)
 
 
 @dataclass(slots=True)
 class ExecuteContext:
-    """What running requests needs of the entry."""
+    """Entry state that online requests share."""
 
     router: Router
     clock: Clock
@@ -76,14 +76,14 @@
     mean_service_s: dict[str, float] = field(default_factory=dict)
     sleep: Callable[[float], Awaitable[None]] = anyio.sleep
 
-    def retry_budget(self, pool: str) -> RetryBudget:
-        """Return the retry budget of a pool."""
+    def budget(self, pool: str) -> RetryBudget:
+        """Return the retry budget of a pool, created on first use."""
         if pool not in self.retry_budgets:
             self.retry_budgets[pool] = RetryBudget(self.clock.now)
         return self.retry_budgets[pool]
 
     def record_service_time(self, pool: str, elapsed_s: float) -> None:
-        """Update the mean time that a request of a pool runs."""
+        """Update the moving average of a pool's service time."""
         mean_s = self.mean_service_s.get(pool, elapsed_s)
         mean_s += SERVICE_TIME_WEIGHT * (elapsed_s - mean_s)
         self.mean_service_s[pool] = mean_s
@@ -94,10 +94,10 @@
     progress: Progress,
     remaining_s: float,
 ) -> Submit:
-    """Return the message of the next attempt.
+    """Return the message that submits the current attempt.
 
-    Each attempt has its own id, so that a late message of an earlier one
-    can't be taken for it.
+    Each attempt has its own id, so that a delayed message of an earlier
+    attempt is not attributed to it.
     """
     suffix = f'.{progress.attempt}' if progress.attempt > 1 else ''
     return Submit(
@@ -110,8 +110,8 @@
         path=request.path,
         headers=request.headers,
         body=request.body,
-        # Chunks are wanted even for a whole answer: they are what another
-        # endpoint resumes from.
+        # Engines stream even if the caller does not: another endpoint
+        # resumes from the chunks.
         stream=request.kind == 'engine',
         remaining_ms=max(1, int(remaining_s * MS_IN_S)),
         fingerprint=request.fingerprint,
@@ -126,7 +126,7 @@
     request: OnlineRequest,
     pick: Pick | None,
 ) -> Refusal | None:
-    """Refuse what must not run or could not start before its deadline."""
+    """Return a refusal unless the request may run and can start in time."""
     if context.suspects.verdict(request.fingerprint) == 'confirmed':
         return crashes_endpoints('not_run')
     remaining_s = request.deadline_s - context.clock.now()
@@ -134,10 +134,8 @@
         return deadline_exceeded('not_run')
     if pick is None:
         return no_endpoint(request.pool, RETRY_AFTER_MS)
-    queued_ahead = pick.load - pick.limit + 1
-    wait_s = (
-        queued_ahead / pick.limit * context.mean_service_s.get(request.pool, 0)
-    )
+    queued = pick.load - pick.limit + 1
+    wait_s = queued / pick.limit * context.mean_service_s.get(request.pool, 0)
     if wait_s > remaining_s:
         return overloaded(request.pool, int(wait_s * MS_IN_S))
     return None
@@ -157,8 +155,8 @@
     def watch_deadline(table: CallTable, call: Call) -> None:
         context.deadlines.add(request.deadline_s, table, call)
 
-    # The end of a request names its endpoint; a line for each first attempt
-    # would double the cost of logging.
+    # First attempts are not logged, as that would double the cost of logging;
+    # `request_ended` names their endpoint.
     if progress.attempt > 1:
         context.log_event(
             'request_routed',
@@ -175,7 +173,7 @@
 
 
 def answer_end(end: End, progress: Progress) -> AnswerEnd:
-    """Return the caller's form of the end of an answer."""
+    """Convert the sidecar's end message to the caller's end event."""
     return AnswerEnd(
         end.status,
         end.headers,
@@ -187,10 +185,10 @@
 
 
 def record_chunk(chunk: Chunk, progress: Progress) -> AnswerText | None:
-    """Keep a chunk and return what the caller gets of it now.
+    """Record a chunk and return its text event, or None for raw bytes.
 
-    Bytes of plain services wait for the end, because the status that goes
-    before them comes with it.
+    Bytes of plain services are buffered until the end message, which
+    carries the status that precedes them.
     """
     if chunk.raw:
         progress.add_raw(chunk.raw)
@@ -200,7 +198,7 @@
 
 
 def answer_too_large(request: OnlineRequest) -> Failed:
-    """Return the failure of an answer that is not held in memory."""
+    """Return the failure for an answer over `MAX_ANSWER_BYTES`."""
     return Failed(request.request_id, 'ran', ANSWER_TOO_LARGE)
 
 
@@ -209,13 +207,13 @@
     request: OnlineRequest,
     progress: Progress,
 ) -> bool:
-    """Wait for the next attempt; False when it must not be made."""
-    failed = progress.last_failure
+    """Back off before a retry; return False if none is allowed."""
+    failed = progress.failure
     if not may_retry(request, progress, failed):
         return False
     if (
         not is_budget_exempt(failed)
-        and not context.retry_budget(request.pool).try_spend()
+        and not context.budget(request.pool).try_spend()
     ):
         context.log_event('retry_budget_spent', pool=request.pool)
         return False
@@ -237,7 +235,7 @@
     pick: Pick,
     failed: Failed,
 ) -> None:
-    """Record a failed attempt in the request and in the routing state."""
+    """Record and log a failed attempt; eject a disconnected endpoint."""
     name = pick.link.instance.instance
     progress.record_failure(name, failed)
     if failed.ran != 'not_run' and pick.link.session.closed:
@@ -258,14 +256,14 @@
     progress: Progress,
     pick: Pick,
 ) -> AsyncIterator[AnswerEvent]:
-    """Yield what one attempt gives the caller."""
+    """Yield the caller's events of one attempt."""
     attempt = run_attempt(context, request, progress, pick)
     async with aclosing(attempt) as events:  # type: ignore[type-var]
         async for event in events:
             for part in handle_event(context, request, progress, pick, event):
                 yield part
             if progress.raw_size > MAX_ANSWER_BYTES:
-                progress.last_failure = answer_too_large(request)
+                progress.failure = answer_too_large(request)
                 progress.ran = 'ran'
                 return
 
@@ -277,7 +275,7 @@
     pick: Pick,
     event: CallEvent,
 ) -> list[AnswerEvent]:
-    """Add an event to the progress and return what the caller gets of it."""
+    """Update the progress by an event and return the caller's events."""
     match event:
         case Started():
             progress.started_s = context.clock.now()
@@ -306,10 +304,10 @@
     request: OnlineRequest,
     progress: Progress,
 ) -> None:
-    """Record the caller's time to the first token once."""
+    """Record the time to first token if this is the first text."""
     if len(progress.texts) > 1:
         return
-    elapsed_ms = (context.clock.now() - progress.received_s) * MS_IN_S
+    elapsed_ms = (context.clock.now() - progress.arrived_s) * MS_IN_S
     context.metrics.observe_ms('ttft_ms', elapsed_ms, pool=request.pool)
 
 
@@ -319,10 +317,8 @@
     progress: Progress,
     pick: Pick,
 ) -> None:
-    """Record a whole answer."""
-    elapsed_s = context.clock.now() - (
-        progress.started_s or progress.received_s
-    )
+    """Update statistics and log for a completed answer."""
+    elapsed_s = context.clock.now() - (progress.started_s or progress.arrived_s)
     context.router.record_success(pick.link.instance.instance)
     context.record_service_time(request.pool, elapsed_s)
     context.metrics.count('requests_total', pool=request.pool, ran='ran')
@@ -340,7 +336,7 @@
     request: OnlineRequest,
     refusal: Refusal,
 ) -> None:
-    """Record a request that ended without an answer."""
+    """Count and log a request that ended without an answer."""
     context.metrics.count(
         'refusals_total',
         pool=request.pool,
@@ -359,14 +355,12 @@
     context: ExecuteContext,
     request: OnlineRequest,
 ) -> AsyncIterator[AnswerEvent]:
-    """Yield the answer of one request; the last event ends or refuses it."""
-    context.retry_budget(request.pool).deposit()
+    """Yield the events of a request, ending with an end or a refusal."""
+    context.budget(request.pool).deposit()
     progress = Progress(context.clock.now())
     refusal: Refusal | None = None
     while refusal is None:
-        progress.last_failure = Failed(
-            request.request_id, 'not_run', NO_ENDPOINT_REASON
-        )
+        progress.failure = Failed(request.request_id, 'not_run', NO_ENDPOINT)
         pick = context.router.pick(request, progress.failed_endpoints)
         early_refusal = refuse_early(context, request, pick)
         if early_refusal is None and pick is not None:
@@ -389,7 +383,7 @@
     progress: Progress,
     early_refusal: Refusal | None,
 ) -> Refusal | None:
-    """Wait for the next attempt, or return why there is none."""
+    """Return None after the backoff, or the refusal if no retry follows."""
     if early_refusal is not None and not progress.attempt:
         return early_refusal
     if early_refusal is not None and early_refusal.status != HTTP_UNAVAILABLE:
@@ -398,4 +392,4 @@
         return None
     if early_refusal is not None:
         return replace(early_refusal, ran=progress.ran)
-    return refusal_for_failure(progress.last_failure, progress.ran)
+    return refusal_for_failure(progress.failure, progress.ran)
--- a/src/quetzaldyke/request/fingerprint.py
+++ b/src/quetzaldyke/request/fingerprint.py
@@ -1,7 +1,7 @@
-"""Fingerprint of a request's content, the same for every resend.
+"""Computes a fingerprint of a request's content that is equal for retries.
 
-Request ids and the organisation are left out, so that a request that
-crashes endpoints is recognised whoever sends it again.
+Request ids and the organisation are not included, so that a request that
+crashes endpoints is recognised when any caller sends it again.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 import orjson
 
-# Fields that don't change what the engine computes.
+# Fields that do not affect what the engine computes.
 IGNORED_FIELDS: Final = frozenset(
     (
         'user',
@@ -26,7 +26,9 @@
 
 
 def canonical_json(body: bytes) -> bytes:
-    """Return the same bytes for equal JSON documents.
+    """Return the same bytes for JSON documents with equal content.
+
+    Fields in `IGNORED_FIELDS` are removed; other bodies are unchanged.
 
     >>> canonical_json(b'{"b": 1, "a": 2}') == canonical_json(b'{"a":2,"b":1}')
     True
@@ -47,7 +49,7 @@
 
 
 def fingerprint(pool: str, path: str, body: bytes) -> str:
-    """Return the fingerprint of a request to a pool."""
+    """Return the SHA-256 of pool, path and canonical body, in hex."""
     digest = hashlib.sha256()
     for part in (pool.encode(), path.encode(), canonical_json(body)):
         digest.update(len(part).to_bytes(8, 'big'))
--- a/src/quetzaldyke/request/limits.py
+++ b/src/quetzaldyke/request/limits.py
@@ -1,9 +1,9 @@
-"""Rate and concurrency of each organisation, divided among the entries.
+"""Enforces each organisation's rate and concurrency limits per entry.
 
-Every entry starts with an even share of each limit. Entries report what an
-organisation asked of them to the entry that coordinates it (rendezvous by
-organisation), and that entry advises shares by demand. No request waits for
-any of this; without advice the even share holds.
+Every entry starts with an even share of each limit. Entries report the
+demand of an organisation to its coordinating entry, chosen by rendezvous
+hashing, which sends back shares by demand. No request waits for this
+exchange; without advice the even share applies.
 """
 
 from __future__ import annotations
@@ -25,20 +25,20 @@
 from quetzaldyke.version.configuration import Organisation
 
 REPORT_INTERVAL_S: Final = 1.0
-# Advice that is not renewed lapses, so that shares of entries that lost
-# their coordinator go back to even ones.
+# Advice expires unless it is renewed, so that entries that lost their
+# coordinator return to even shares.
 ADVICE_TTL_S: Final = 5.0
 USAGE_TTL_S: Final = 5.0
-# Part of each limit that is divided evenly whatever the demand, so that an
-# entry that was idle can serve its first requests before new advice.
+# Fraction of each limit that is divided evenly regardless of demand, so that
+# an entry that was idle can admit requests before it gets new advice.
 EVEN_FRACTION: Final = 0.2
-# A bucket holds the tokens of this time.
+# Capacity of a token bucket, as the time in which it refills.
 BURST_S: Final = 1.0
 CONCURRENCY_RETRY_MS: Final = 1000
 
 
 def shares_by_demand(demand: Mapping[str, int]) -> dict[str, float]:
-    """Divide a limit among entries; the shares add up to one.
+    """Return each entry's share of a limit; the shares sum to one.
 
     >>> shares_by_demand({'entry-1': 60, 'entry-2': 20})
     {'entry-1': 0.7, 'entry-2': 0.30000000000000004}
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class Advice:
-    """Share that the coordinating entry gave, until it lapses."""
+    """Share assigned by the coordinating entry, and when it expires."""
 
     share: float
     until_s: float
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True)
 class Usage:
-    """Use of one organisation here."""
+    """Token bucket and running requests of an organisation."""
 
     bucket: TokenBucket
     running: int = 0
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True)
 class Limits:
-    """Admission of requests by organisation at one entry."""
+    """Admits requests at one entry within its share of the limits."""
 
     read_now_s: Callable[[], float]
     find_organisation: Callable[[str], Organisation | None]
@@ -83,22 +83,22 @@
     demand: Counter[str] = field(default_factory=Counter)
 
     def share_of(self, name: str) -> float:
-        """Return the part of the organisation's limits that holds here."""
+        """Return this entry's share of the organisation's limits."""
         advice = self.advice.get(name)
         if advice is not None and advice.until_s > self.read_now_s():
             return advice.share
         return 1 / max(1, self.count_entries())
 
     def admit(self, name: str) -> Result[None, Refusal]:
-        """Take a place for a request; `release` gives it back."""
+        """Count a request as running until `release`, or refuse it."""
         organisation = self.find_organisation(name)
         if organisation is None:
             return Err(unknown_organisation())
         self.demand[name] += 1
         share = self.share_of(name)
         usage = self.usage_of(name, organisation, share)
-        # Rounded up: a limit below the number of entries still allows one
-        # request at each.
+        # Rounded up, so that a limit below the number of entries still
+        # allows one request at each entry.
         max_running = math.ceil(organisation.concurrency * share)
         if usage.running >= max_running:
             return Err(limit_reached('concurrency', CONCURRENCY_RETRY_MS))
@@ -109,7 +109,7 @@
         return Ok(None)
 
     def release(self, name: str) -> None:
-        """Give back the place of a request that ended."""
+        """Count an admitted request as ended."""
         self.usage[name].running -= 1
 
     def usage_of(
@@ -118,7 +118,7 @@
         organisation: Organisation,
         share: float,
     ) -> Usage:
-        """Return the use of an organisation at its present rate."""
+        """Return the usage state, with the bucket set to the current rate."""
         rate = organisation.requests_per_s * share
         burst = max(1.0, rate * BURST_S)
         usage = self.usage.get(name)
@@ -130,17 +130,17 @@
         return usage
 
     def take_demand(self) -> dict[str, int]:
-        """Return the requests asked for since the last call."""
+        """Return the requests per organisation since the last call."""
         demand = dict(self.demand)
-        # A zero is reported once after the last request, so that the
-        # coordinator sees the demand end.
+        # After its last request an organisation is reported with zero, so
+        # that the coordinator sees that the demand ended.
         self.demand = Counter(
             dict.fromkeys(self.active_organisations(demand), 0)
         )
         return demand
 
     def active_organisations(self, demand: Mapping[str, int]) -> list[str]:
-        """Return the organisations to report next time."""
+        """Return organisations that had demand or have running requests."""
         return [
             name
             for name, count in demand.items()
@@ -148,19 +148,19 @@
         ]
 
     def running_requests(self, name: str) -> int:
-        """Return the running requests of an organisation."""
+        """Return the number of running requests of an organisation."""
         usage = self.usage.get(name)
         return usage.running if usage else 0
 
     def apply_advice(self, shares: Mapping[str, float]) -> None:
-        """Follow the coordinator's advice."""
+        """Use the coordinator's shares for the next `ADVICE_TTL_S`."""
         until_s = self.read_now_s() + ADVICE_TTL_S
         for name, share in shares.items():
             bounded = min(1.0, max(0.0, share))
             self.advice[name] = Advice(bounded, until_s)
 
     def remove_idle(self) -> None:
-        """Drop lapsed advice and the state of organisations at rest."""
+        """Remove expired advice and the state of idle organisations."""
         now_s = self.read_now_s()
         self.advice = {
             name: advice
@@ -176,7 +176,7 @@
 
 @dataclass(slots=True)
 class Coordinator:
-    """Advice for the organisations that this entry coordinates."""
+    """Computes the shares of the organisations that this entry coordinates."""
 
     read_now_s: Callable[[], float]
     demand: dict[str, dict[str, tuple[int, float]]] = field(
@@ -184,7 +184,7 @@
     )
 
     def record_demand(self, entry: str, demand: Mapping[str, int]) -> None:
-        """Keep the latest report of an entry."""
+        """Store the latest demand that an entry reported."""
         now_s = self.read_now_s()
         for name, count in demand.items():
             self.demand[name][entry] = (count, now_s)
@@ -192,7 +192,7 @@
     def compute_shares(
         self, entries: Collection[str]
     ) -> dict[str, dict[str, float]]:
-        """Return for each live entry its shares of the organisations."""
+        """Return the shares of each live entry, by entry and organisation."""
         oldest_s = self.read_now_s() - USAGE_TTL_S
         by_entry: dict[str, dict[str, float]] = {name: {} for name in entries}
         for organisation, reports in list(self.demand.items()):
@@ -211,7 +211,7 @@
 
 
 def limit_reached(kind: str, retry_after_ms: int) -> Refusal:
-    """Return the refusal of a request over a limit."""
+    """Return the refusal of a request that exceeds a limit."""
     return Refusal(
         HTTP_TOO_MANY,
         f'{kind}_limit',
@@ -222,10 +222,10 @@
 
 
 def unknown_organisation() -> Refusal:
-    """Return the refusal when an organisation was just removed."""
+    """Return the refusal for an organisation that was just removed."""
     return Refusal(
         HTTP_TOO_MANY,
         'no_limit',
-        'the organisation has no limits any more',
+        'the organisation is no longer configured',
         'not_run',
     )
--- a/src/quetzaldyke/request/model.py
+++ b/src/quetzaldyke/request/model.py
@@ -1,4 +1,4 @@
-"""One request as the entry sees it, from the caller's body or headers."""
+"""Defines an online request and parses the bodies of generation requests."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class PermissiveModel(BaseModel):
-    """Body that keeps fields that only the engine understands."""
+    """Immutable model that keeps unknown fields for the engine."""
 
     model_config = ConfigDict(extra='allow', frozen=True)
 
@@ -37,13 +37,13 @@
 
 
 class StreamOptions(PermissiveModel):
-    """Options of a streamed answer."""
+    """Streaming options of a generation request."""
 
     include_usage: bool = False
 
 
 class GenerationBody(PermissiveModel):
-    """Fields that both generation paths share."""
+    """Fields common to both generation endpoints."""
 
     model: Annotated[str, Field(min_length=1)]
     stream: bool = False
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OnlineRequest:
-    """One online request on its way through the entry."""
+    """A validated online request."""
 
     request_id: str
     organisation: str
@@ -87,7 +87,7 @@
 
 
 def new_request_id() -> str:
-    """Return an id for a request."""
+    """Return a random request id."""
     return f'req-{secrets.token_hex(REQUEST_ID_BYTES)}'
 
 
@@ -95,7 +95,10 @@
     path: str,
     body: bytes,
 ) -> Result[GenerationBody, Refusal]:
-    """Validate a generation body; findings name the field."""
+    """Validate a generation body, or return a refusal.
+
+    The refusal's message lists the invalid fields.
+    """
     model = ChatBody if path == CHAT_PATH else CompletionBody
     try:
         return Ok(model.model_validate_json(body))
--- a/src/quetzaldyke/request/once.py
+++ b/src/quetzaldyke/request/once.py
@@ -1,9 +1,10 @@
-"""Runs a non-idempotent request at most once over the whole fleet.
+"""Runs a non-idempotent request at most once across the fleet.
 
-A durable claim under the caller's key precedes the first byte to a
-sidecar. The run goes on when its caller is gone, and its outcome is
-recorded, so that a resend through any entry gets the first run's answer.
-What can't be known is answered as `unknown`, never run again.
+A durable claim on the caller's idempotency key is written before anything
+is sent to a sidecar. The request keeps running if its caller disconnects,
+and its outcome is recorded, so that a retry through any entry gets the same
+answer. If it is not known whether the request ran, a retry is answered with
+`unknown` and never run again.
 """
 
 from __future__ import annotations
@@ -48,41 +49,42 @@
 )
 
 UUID_VERSION: Final = 7
-# Codes of the ledger that speak of the key, not of the service.
+# Error codes of the claim ledger that are caused by the key itself.
 KEY_ERROR_CODES: Final = frozenset(('expired_key', 'future_key'))
-# A UUIDv7 has its time in ms in the upper 48 of 128 bits.
+# The upper 48 of the 128 bits of a UUIDv7 are its timestamp in ms.
 UUID_TIMESTAMP_SHIFT: Final = 80
-# A key from further ahead than clocks differ would outlive its record.
+# Largest tolerated clock difference: a key whose timestamp is further ahead
+# would still be accepted after its record has expired.
 MAX_CLOCK_SKEW_MS: Final = 60_000
 CLAIM_RETRY_MS: Final = 1000
-# The ledger keeps outcomes that an outage held back; this is how often it
-# tries to write them.
+# How often the ledger retries outcomes that it could not write because the
+# store was unavailable.
 SETTLE_INTERVAL_S: Final = 1.0
 
 
 @dataclass(slots=True)
 class OnceContext:
-    """What non-idempotent requests need of the entry."""
+    """Entry state that non-idempotent requests share."""
 
     execute: ExecuteContext
     ledger: ClaimLedger
     group: TaskGroup
     retention_s: float
     read_wall_ms: Callable[[], int] = wall_clock_ms
-    # Runs that may go on without their caller.
+    # Number of claimed requests that are running; their callers may be gone.
     running: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class HeldClaim:
-    """A claim that this process made and must settle."""
+    """A claim that this process holds and has to record or release."""
 
     key_hash: str
     claim_id: str
 
 
 def uuid7_timestamp_ms(key: str) -> int | None:
-    """Return the time in a UUIDv7, or None for any other text.
+    """Return the timestamp of a UUIDv7, or None for any other text.
 
     >>> uuid7_timestamp_ms('01890a5d-ac96-774b-bcce-b302099a8057')
     1688096058518
@@ -101,7 +103,11 @@
     context: OnceContext,
     key: str,
 ) -> Result[int, Refusal]:
-    """Return the time of a usable key."""
+    """Return the key's timestamp in ms, or why the key is refused.
+
+    The key must be a UUIDv7 within the retention time that is at most
+    `MAX_CLOCK_SKEW_MS` ahead of the clock.
+    """
     created_ms = uuid7_timestamp_ms(key)
     if created_ms is None:
         return Err(
@@ -136,7 +142,7 @@
 
 
 def claim_key_hash(request: OnlineRequest) -> str:
-    """Return the claim's key; the organisation is part of it."""
+    """Return the hash of organisation, pool and idempotency key."""
     digest = hashlib.sha256()
     for part in (request.organisation, request.pool, request.idempotency_key):
         text = part.encode()
@@ -146,7 +152,7 @@
 
 
 def claim_failed(error: ClaimError) -> Refusal:
-    """Return the refusal when a claim could not be made."""
+    """Return the refusal for a claim that could not be made."""
     status = (
         HTTP_CONFLICT if error.code in KEY_ERROR_CODES else HTTP_UNAVAILABLE
     )
@@ -160,7 +166,7 @@
 
 
 def run_in_progress() -> Refusal:
-    """Return the answer while another run of the key has no outcome."""
+    """Return the refusal while another run of the key has no outcome."""
     return Refusal(
         HTTP_CONFLICT,
         'in_progress',
@@ -171,7 +177,7 @@
 
 
 def key_reused() -> Refusal:
-    """Return the refusal of a key that belongs to another request."""
+    """Return the refusal of a key that was used for another request."""
     return Refusal(
         HTTP_UNPROCESSABLE,
         'idempotency_key_reused',
@@ -184,7 +190,10 @@
     context: OnceContext,
     request: OnlineRequest,
 ) -> AsyncIterator[AnswerEvent]:
-    """Yield the answer of the only run under the request's key."""
+    """Yield the events of the only run under the request's key.
+
+    A retry gets the recorded events, or a refusal if there are none yet.
+    """
     checked = validate_key(context, request.idempotency_key)
     if isinstance(checked, Err):
         yield checked.err_value
@@ -211,7 +220,7 @@
     request: OnlineRequest,
     outcome: bytes,
 ) -> list[AnswerEvent]:
-    """Return the events of a recorded outcome."""
+    """Return the recorded events, or a refusal for a different request."""
     record = unpack_outcome(outcome)
     if record.fingerprint != request.fingerprint:
         return [key_reused()]
@@ -224,7 +233,10 @@
     key_hash: str,
     claim_id: str,
 ) -> AsyncIterator[AnswerEvent]:
-    """Run a claimed request in a task that outlives its caller."""
+    """Run a claimed request in a background task and yield its events.
+
+    The task continues if the caller disconnects.
+    """
     sender, receiver = anyio.create_memory_object_stream[AnswerEvent](math.inf)
     context.running += 1
     context.group.start_soon(
@@ -245,7 +257,7 @@
     claim: HeldClaim,
     sender: MemoryObjectSendStream[AnswerEvent],
 ) -> None:
-    """Run a claimed request to its end and record the outcome."""
+    """Run a claimed request, settle its claim, then send the last event."""
     try:
         events = await run_to_end(context, request, sender)
         await record_or_release(context, request, claim, events)
@@ -260,9 +272,10 @@
     request: OnlineRequest,
     sender: MemoryObjectSendStream[AnswerEvent],
 ) -> list[AnswerEvent]:
-    """Run a request and return its events; the last one ends it.
+    """Run a request and return all events, ending with an end or refusal.
 
-    The task belongs to the entry, so a fault here must not end the entry.
+    Exceptions are logged and not raised, since the task runs in the entry's
+    task group and would otherwise stop the entry.
     """
     events: list[AnswerEvent] = []
     try:
@@ -285,7 +298,7 @@
     sender: MemoryObjectSendStream[AnswerEvent],
     event: AnswerEvent,
 ) -> None:
-    """Hand an event to the caller if it is still there."""
+    """Send an event to the caller unless it has disconnected."""
     try:
         sender.send_nowait(event)
     except anyio.BrokenResourceError:
@@ -298,10 +311,10 @@
     claim: HeldClaim,
     events: list[AnswerEvent],
 ) -> None:
-    """Record the outcome, or give the claim back when nothing ran.
+    """Record the outcome, or release the claim if the request did not run.
 
-    The record goes before the answer, so that a resend after a lost answer
-    finds it. The ledger repeats what an outage held back.
+    The outcome is recorded before the end is sent, so that a retry after a
+    lost answer finds it. The ledger retries writes that fail in an outage.
     """
     last = events[-1]
     if isinstance(last, Refusal) and last.ran == 'not_run':
--- a/src/quetzaldyke/request/outcome.py
+++ b/src/quetzaldyke/request/outcome.py
@@ -1,7 +1,7 @@
-"""What a caller gets: parts of an answer, its end, or a refusal.
+"""Defines the events that a caller gets: answer parts, an end or a refusal.
 
-A refusal always says whether the request ran, so that the caller knows
-whether a resend is safe.
+A refusal always states whether the request ran, so that the caller knows
+whether a retry is safe.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 HTTP_TIMEOUT: Final = 504
 MS_IN_S: Final = 1000
 
-# Reasons of the entry and of the sidecar.
+# Failure reasons for a missed deadline: by the entry and by the sidecar.
 DEADLINE_REASONS: Final = frozenset(('deadline', 'deadline has passed'))
 CRASHES_ENDPOINTS: Final = 'crashes_endpoints'
 
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """End of a request without an answer."""
+    """Error that ends a request: HTTP status, code and whether it ran."""
 
     status: int
     code: str
@@ -50,13 +50,13 @@
 
     @property
     def error_type(self) -> str:
-        """Return the type that client libraries expect for the status."""
+        """Return the error type that client libraries expect for the status."""
         if self.status >= HTTP_BAD_GATEWAY:
             return 'unavailable_error'
         return ERROR_TYPES.get(self.status, 'invalid_request_error')
 
     def body(self, request_id: str) -> dict[str, dict[str, str]]:
-        """Return the error document."""
+        """Return the JSON error document."""
         return {
             'error': {
                 'message': self.message,
@@ -68,17 +68,17 @@
         }
 
     def headers(self) -> dict[str, str]:
-        """Return `Retry-After` where a retry helps."""
+        """Return a `retry-after` header if a retry may succeed."""
         if not self.retry_after_ms:
             return {}
-        # Whole seconds, rounded up; zero would invite an immediate retry.
+        # Rounded up to whole seconds: zero would cause an immediate retry.
         seconds = -(-self.retry_after_ms // MS_IN_S)
         return {'retry-after': str(seconds)}
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerText:
-    """Generated text in the order of its generation."""
+    """Part of the generated text, in order."""
 
     text: str
     tokens: int
@@ -86,14 +86,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerBytes:
-    """Bytes of a plain service's answer."""
+    """Body bytes of a plain service's answer."""
 
     raw: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerEnd:
-    """The answer is whole."""
+    """End of a complete answer."""
 
     status: int
     headers: dict[str, str]
@@ -108,7 +108,7 @@
 
 @dataclass(slots=True)
 class CompleteAnswer:
-    """All parts of an answer, put together."""
+    """A complete answer, assembled from its events."""
 
     end: AnswerEnd
     text: str = ''
@@ -117,7 +117,7 @@
 
 @dataclass(slots=True)
 class AnswerParts:
-    """Parts seen so far."""
+    """Parts of an answer received so far."""
 
     texts: list[str] = field(default_factory=list)
     raw_chunks: list[bytes] = field(default_factory=list)
@@ -126,7 +126,7 @@
 async def collect(
     events: AsyncIterator[AnswerEvent],
 ) -> CompleteAnswer | Refusal:
-    """Return the whole answer, or the refusal that ended it."""
+    """Return the complete answer, or the refusal that ended it."""
     parts = AnswerParts()
     async with aclosing(events) as open_events:  # type: ignore[type-var]
         async for event in open_events:
@@ -144,12 +144,12 @@
 
 
 def incomplete(message: str) -> Refusal:
-    """Return the refusal of an answer that broke off."""
+    """Return the refusal for an answer that cannot be completed."""
     return Refusal(HTTP_BAD_GATEWAY, 'incomplete', message, 'unknown')
 
 
 def no_endpoint(pool: str, retry_after_ms: int) -> Refusal:
-    """Return the refusal when nothing can run the request."""
+    """Return the refusal if no endpoint of the pool is available."""
     return Refusal(
         HTTP_UNAVAILABLE,
         'no_endpoint',
@@ -160,18 +160,18 @@
 
 
 def overloaded(pool: str, retry_after_ms: int) -> Refusal:
-    """Return the refusal of a request that could not start in time."""
+    """Return the refusal of a request that cannot start in time."""
     return Refusal(
         HTTP_UNAVAILABLE,
         'overloaded',
-        f'the endpoints of {pool} are busy past the deadline',
+        f'the endpoints of {pool} are busy until after the deadline',
         'not_run',
         retry_after_ms,
     )
 
 
 def deadline_exceeded(ran: Ran) -> Refusal:
-    """Return the refusal of a request past its deadline."""
+    """Return the refusal of a request that missed its deadline."""
     return Refusal(
         HTTP_TIMEOUT,
         'deadline_exceeded',
@@ -181,7 +181,7 @@
 
 
 def crashes_endpoints(ran: Ran) -> Refusal:
-    """Return the refusal of a confirmed crashing request."""
+    """Return the refusal of a request that crashes endpoints."""
     return Refusal(
         HTTP_UNPROCESSABLE,
         CRASHES_ENDPOINTS,
@@ -191,7 +191,7 @@
 
 
 def parse_ran(text: str) -> Ran:
-    """Return a peer's statement; anything unexpected counts as unknown.
+    """Return a peer's `ran` value; unexpected values become `unknown`.
 
     >>> parse_ran('not_run'), parse_ran('perhaps')
     ('not_run', 'unknown')
@@ -202,9 +202,9 @@
 
 
 def refusal_for_failure(failed: Failed, ran: Ran) -> Refusal:
-    """Return the caller's form of a failed request.
+    """Return the refusal for a request whose last attempt failed.
 
-    `ran` covers all attempts, where `failed` speaks of the last one.
+    `ran` covers all attempts; `failed` describes only the last one.
     """
     if failed.reason == CRASHES_ENDPOINTS:
         return crashes_endpoints(ran)
@@ -214,7 +214,7 @@
         return Refusal(
             HTTP_UNAVAILABLE,
             'overloaded',
-            'the endpoints are busy past the deadline',
+            'the endpoints are busy until after the deadline',
             ran,
             failed.retry_after_ms,
         )
--- a/src/quetzaldyke/request/outcome_record.py
+++ b/src/quetzaldyke/request/outcome_record.py
@@ -1,7 +1,7 @@
-"""Stored form of the outcome of a non-idempotent request.
+"""Serialises the outcome of a non-idempotent request.
 
-It holds the request's fingerprint, so that a key that is used again for
-another request is noticed instead of getting the first one's answer.
+The record contains the request's fingerprint, so that the reuse of a key
+for another request is detected instead of getting the first answer.
 """
 
 from __future__ import annotations
@@ -26,14 +26,17 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeRecord:
-    """A recorded outcome and the request that it belongs to."""
+    """Recorded events and the fingerprint of their request."""
 
     fingerprint: str
     events: list[AnswerEvent]
 
 
 def pack_outcome(fingerprint: str, events: list[AnswerEvent]) -> bytes:
-    """Return the stored form of an answer's events."""
+    """Serialise events; the last must be an end or a refusal.
+
+    Raises ValueError otherwise.
+    """
     text = ''.join(
         event.text for event in events if isinstance(event, AnswerText)
     )
@@ -59,12 +62,12 @@
             fields = [last.status, last.code, last.message, last.ran]
             row = [REFUSAL, fingerprint, text, tokens, raw, fields]
         case _:
-            raise ValueError('the events have no end')
+            raise ValueError('the last event is not AnswerEnd or Refusal')
     return bytes(msgpack.packb(row))
 
 
 def unpack_outcome(stored: bytes) -> OutcomeRecord:
-    """Return a recorded outcome."""
+    """Return the outcome that `pack_outcome` serialised."""
     kind, fingerprint, text, tokens, raw, fields = msgpack.unpackb(stored)
     events: list[AnswerEvent] = []
     if text:
--- a/src/quetzaldyke/request/prefixes.py
+++ b/src/quetzaldyke/request/prefixes.py
@@ -1,8 +1,8 @@
-"""Names of a prompt's prefixes, as engines name them in cache events.
+"""Computes hashes of a prompt's prefixes, as engines send in cache events.
 
-A name is the start of the SHA-256 over the words of one or more whole
-blocks. Engines that name blocks differently never match, and routing then
-goes by load alone.
+A hash is the truncated SHA-256 of the words of one or more complete blocks.
+Hashes of engines with another scheme never match, and routing then uses the
+load alone.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 BLOCK_WORDS: Final = 16
 HASH_CHARS: Final = 16
-# Longer prefixes would cost more to hash than the hint is worth.
+# Hashing longer prefixes would cost more than prefix affinity gains.
 MAX_BLOCKS: Final = 64
 
 
 def prompt_of(body: GenerationBody) -> str:
-    """Return the text of a request in the order in which engines read it."""
+    """Return the prompt text in the order in which engines read it."""
     match body:
         case ChatBody(messages=messages):
             return '\n'.join(
@@ -32,14 +32,17 @@
 
 
 def message_text(content: str | Sequence[dict[str, object]] | None) -> str:
-    """Return the text of a message, given as text or as parts."""
+    """Return the text of message content, given as text or as parts."""
     if content is None or isinstance(content, str):
         return content or ''
     return ''.join(str(part.get('text', '')) for part in content)
 
 
 def prefix_hashes(prompt: str) -> tuple[str, ...]:
-    """Return the name of each whole block's prefix, shortest first.
+    """Return the hash of the prefix up to each block, shortest first.
+
+    An incomplete last block is ignored, and so are blocks after
+    `MAX_BLOCKS`.
 
     >>> prefix_hashes('too short')
     ()
--- a/src/quetzaldyke/request/retry.py
+++ b/src/quetzaldyke/request/retry.py
@@ -1,4 +1,4 @@
-"""Decides after a failed attempt whether another endpoint may be tried."""
+"""Tracks the attempts of a request and decides whether it may be retried."""
 
 from __future__ import annotations
 
@@ -13,64 +13,64 @@
     parse_ran,
 )
 
-# A request that fails everywhere for a reason of its own ends here even
-# when the budget would allow more.
+# Bounds the retries of a request that fails on every endpoint for a reason
+# of its own, even if the retry budget would allow more.
 MAX_ATTEMPTS: Final = 8
-# Failures that no other endpoint would answer differently.
+# Failures that would recur on any other endpoint.
 ANSWER_TOO_LARGE: Final = 'the answer is too large'
 NON_RETRYABLE_REASONS: Final = DEADLINE_REASONS | {
     CRASHES_ENDPOINTS,
     ANSWER_TOO_LARGE,
 }
-# A sidecar that leaves refuses new work; moving on is no sign of overload,
-# so it costs nothing of the retry budget.
+# A sidecar that is shutting down refuses new work. A retry after that is no
+# sign of overload and is not charged to the retry budget.
 BUDGET_EXEMPT_REASONS: Final = frozenset(('endpoint is leaving',))
 
 
 def not_attempted() -> Failed:
-    """Return the failure of a request before its first attempt."""
+    """Return the initial failure of a request without any attempt."""
     return Failed('', 'not_run', 'no attempt was made')
 
 
 @dataclass(slots=True)
 class Progress:
-    """What all attempts of one request have led to."""
+    """Accumulated output and failures of all attempts of a request."""
 
-    received_s: float = 0.0
+    arrived_s: float = 0.0
     started_s: float = 0.0
     attempt: int = 0
     texts: list[str] = field(default_factory=list)
     tokens: int = 0
-    # Where the present attempt's part of the text begins.
+    # Start index in `texts` and token count of the current attempt.
     attempt_text_start: int = 0
     attempt_tokens: int = 0
     raw_chunks: list[bytes] = field(default_factory=list)
     raw_size: int = 0
     ran: Ran = 'not_run'
     failed_endpoints: set[str] = field(default_factory=set)
-    last_failure: Failed = field(default_factory=not_attempted)
+    failure: Failed = field(default_factory=not_attempted)
     completed: bool = False
 
     def begin_attempt(self) -> None:
-        """Count an attempt; it continues after the text so far."""
+        """Start an attempt that continues the text received so far."""
         self.attempt += 1
         self.attempt_text_start = len(self.texts)
         self.attempt_tokens = 0
 
     def add_text(self, text: str, tokens: int) -> None:
-        """Add text that the caller gets."""
+        """Add text that is relayed to the caller."""
         self.texts.append(text)
         self.tokens += tokens
         self.attempt_tokens += tokens
 
     def add_raw(self, raw: bytes) -> None:
-        """Keep bytes of a plain service's answer."""
+        """Buffer body bytes of a plain service's answer."""
         self.raw_chunks.append(raw)
         self.raw_size += len(raw)
 
     def record_failure(self, endpoint: str, failed: Failed) -> None:
-        """Add one failed attempt."""
-        self.last_failure = failed
+        """Record a failed attempt and discard its buffered bytes."""
+        self.failure = failed
         self.failed_endpoints.add(endpoint)
         self.raw_chunks.clear()
         self.raw_size = 0
@@ -78,10 +78,11 @@
 
 
 def unsent_text(progress: Progress, failed: Failed) -> tuple[str, int]:
-    """Return text of a failed attempt that did not arrive in chunks.
+    """Return a failed attempt's text and tokens that no chunk delivered.
 
-    The failure carries the attempt's whole text; what was still waiting at
-    the sidecar is not generated a second time.
+    The failure carries the attempt's complete text, so text that was still
+    buffered at the sidecar need not be generated again. The
+    result is empty if that text does not continue the received chunks.
     """
     if not failed.partial_text:
         return '', 0
@@ -93,7 +94,7 @@
 
 
 def combine_ran(first: Ran, second: Ran) -> Ran:
-    """Return the statement that is true of two attempts together.
+    """Return whether either of two attempts ran, as far as is known.
 
     >>> combine_ran('not_run', 'unknown'), combine_ran('unknown', 'ran')
     ('unknown', 'ran')
@@ -109,7 +110,10 @@
     progress: Progress,
     failed: Failed,
 ) -> bool:
-    """Tell whether another attempt is safe, budget and time aside."""
+    """Return whether a retry is safe and could succeed.
+
+    The retry budget and the deadline are checked separately.
+    """
     if (
         failed.reason in NON_RETRYABLE_REASONS
         or progress.attempt >= MAX_ATTEMPTS
@@ -121,5 +125,5 @@
 
 
 def is_budget_exempt(failed: Failed) -> bool:
-    """Tell whether the retry is left out of the budget."""
+    """Return whether the retry is not charged to the retry budget."""
     return failed.ran == 'not_run' and failed.reason in BUDGET_EXEMPT_REASONS
--- a/src/quetzaldyke/request/router.py
+++ b/src/quetzaldyke/request/router.py
@@ -1,8 +1,8 @@
-"""What routing remembers between requests, and the choice for one request.
+"""Keeps the routing state of an entry and picks the endpoint of an attempt.
 
-A link's load is the last report corrected by what this entry has sent and
-finished since. Endpoints whose connection broke under a request are ejected
-for a short time that doubles while it goes on.
+A link's load is its last report, corrected by the requests that this entry
+has sent and finished since then. An endpoint whose connection broke during
+a request is ejected for a time that doubles with each further failure.
 """
 
 from __future__ import annotations
@@ -30,22 +30,23 @@
 EJECTION_BASE_S: Final = 1.0
 EJECTION_CAP_S: Final = 30.0
 EJECTION_BACKOFF: Final = BackoffOptions(EJECTION_BASE_S, EJECTION_CAP_S)
-# Work is borrowed only once the own pool has no free slot.
+# Endpoints are borrowed only at or above this load ratio of the own pool's
+# choice, that is when it has no free slot.
 SATURATION_RATIO: Final = 1.0
 DEFAULT_POOL: Final = Pool()
 
 
 class ConfigurationHolder(Protocol):
-    """Gives the configuration in force."""
+    """Provides the current configuration."""
 
     @property
     def current(self) -> Configuration:
-        """Return the configuration in force."""
+        """Return the current configuration."""
 
 
 @dataclass(slots=True)
 class Ejection:
-    """An endpoint that gets no requests for a while."""
+    """Consecutive failures of an endpoint and the end of its ejection."""
 
     failures: int = 0
     until_s: float = 0.0
@@ -53,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pick:
-    """The chosen endpoint and what is known of its load."""
+    """The chosen endpoint with its load and concurrency limit."""
 
     link: SidecarLink
     load: int
@@ -62,7 +63,7 @@
 
 @dataclass(slots=True)
 class Router:
-    """Routing state of one entry."""
+    """Picks endpoints by reported load, ejections and lending rules."""
 
     fleet: Fleet
     holder: ConfigurationHolder
@@ -73,7 +74,7 @@
     borrowed: Counter[tuple[str, str]] = field(default_factory=Counter)
 
     async def on_report(self, session: PeerSession, message: Message) -> None:
-        """Remember how many own requests the report already counts."""
+        """Store how many requests of this entry the report already counts."""
         link = self.fleet.link_of(session)
         if link is not None and isinstance(message, Report):
             self.running_at_report[link.instance.instance] = link.running_online
@@ -83,10 +84,11 @@
         request: OnlineRequest,
         avoided: Collection[str],
     ) -> Pick | None:
-        """Choose the endpoint of an attempt; None when there is none.
+        """Return the endpoint for an attempt, or None if there is none.
 
-        Endpoints that already failed the request are used again only when
-        no other is left.
+        Another pool's endpoint is used if the own pool's choice has no free
+        slot and a lending rule allows it. Endpoints in `avoided`, on which
+        the request already failed, are used only if no other is available.
         """
         links = self.links_serving(request.pool)
         chosen = self.choose_link(request, links, avoided)
@@ -103,7 +105,7 @@
         links: list[SidecarLink],
         avoided: Collection[str],
     ) -> Pick | None:
-        """Choose among links, leaving out the avoided names."""
+        """Choose among the links whose instance is not in `avoided`."""
         by_name = {
             link.instance.instance: link
             for link in links
@@ -121,11 +123,11 @@
         return Pick(by_name[chosen.name], chosen.load, chosen.limit)
 
     def pool_of(self, name: str) -> Pool:
-        """Return the configuration of a pool."""
+        """Return the configuration of a pool, or the default one."""
         return self.holder.current.pools.get(name, DEFAULT_POOL)
 
     def links_serving(self, pool: str) -> list[SidecarLink]:
-        """Return the usable links whose endpoint serves the pool's model."""
+        """Return the pool's usable links whose endpoint serves its model."""
         pool_config = self.pool_of(pool)
         return [
             link
@@ -138,7 +140,7 @@
         link: SidecarLink,
         request: OnlineRequest | None = None,
     ) -> Candidate:
-        """Return what routing needs to know of a link."""
+        """Return the routing candidate for a link."""
         report = link.report
         limit = report.limit if report else 1
         return Candidate(
@@ -151,7 +153,7 @@
         )
 
     def load_of(self, link: SidecarLink) -> int:
-        """Return the online requests that run or wait at an endpoint."""
+        """Return the estimated online requests running or queued there."""
         report = link.report
         if report is None:
             return link.running_online
@@ -164,7 +166,7 @@
         self,
         links: dict[str, SidecarLink],
     ) -> dict[str, SidecarLink]:
-        """Leave out ejected endpoints unless that would leave none."""
+        """Return the links that are not ejected, or all if none is left."""
         now_s = self.clock.now()
         healthy = {
             name: link
@@ -175,18 +177,18 @@
         return healthy or links
 
     def eject(self, name: str) -> None:
-        """Keep new requests from an endpoint that failed one."""
+        """Eject an endpoint; the time doubles with each failure in a row."""
         ejection = self.ejections.setdefault(name, Ejection())
         ejection.failures += 1
         pause = ceiling_s(EJECTION_BACKOFF, ejection.failures)
         ejection.until_s = self.clock.now() + pause
 
     def record_success(self, name: str) -> None:
-        """Forget the failures of an endpoint that answered."""
+        """Clear the failures and the ejection of an endpoint."""
         self.ejections.pop(name, None)
 
     def borrowable_links(self, borrower: str) -> list[SidecarLink]:
-        """Return the links of other pools that may run online work now."""
+        """Return lenders' links that may run online work of the borrower."""
         pools = self.holder.current.pools
         if borrower not in pools:
             return []
@@ -205,7 +207,11 @@
         lender: str,
         max_share: float,
     ) -> list[SidecarLink]:
-        """Return a lender's links with room within the rule's share."""
+        """Return the lender's links below its spill ratio.
+
+        The list is empty when the borrower already uses its maximum share
+        of the lender's slots.
+        """
         pool_config = self.pool_of(borrower)
         links = [
             link
@@ -224,7 +230,7 @@
 
     @contextmanager
     def borrowing(self, request: OnlineRequest, pick: Pick) -> Iterator[None]:
-        """Count an attempt that runs on a lender's endpoint."""
+        """Count the attempt as borrowed while it runs on another pool."""
         lender = pick.link.instance.pool
         if lender == request.pool:
             yield
@@ -237,7 +243,7 @@
 
 
 def cached_blocks(report: Report | None, request: OnlineRequest | None) -> int:
-    """Return how many blocks of the prompt an endpoint has cached."""
+    """Return the length in blocks of the longest cached prefix."""
     if report is None or request is None or not request.prefixes:
         return 0
     cached = frozenset(report.prefixes)
@@ -250,7 +256,11 @@
 
 
 def serves(link: SidecarLink, pool_config: Pool) -> bool:
-    """Tell whether an endpoint reports the model that a pool needs."""
+    """Return whether the endpoint reports the pool's model and adapter.
+
+    An endpoint that reports no model matches any model. For a pool of plain
+    services any report is enough.
+    """
     report = link.report
     if report is None or pool_config.kind == 'service':
         return report is not None
--- a/src/quetzaldyke/request/routing.py
+++ b/src/quetzaldyke/request/routing.py
@@ -1,9 +1,10 @@
-"""Chooses the endpoint of a request among the ones that can run it.
+"""Chooses an endpoint for a request among the candidates that can run it.
 
-Power of two choices over an estimate of each endpoint's load keeps entries
-from herding to the endpoint whose last report was the best. The own failure
-domain is tried first and spills over when it is busy. Prefix affinity is a
-hint that yields to load, and slow endpoints look busier than they are.
+Power-of-two-choices over the estimated loads prevents all entries from
+sending to the endpoint with the lowest load in its last report. Endpoints
+of the entry's own failure domain are preferred until they are busy. Prefix
+affinity applies only below a load bound, and the load of slow endpoints is
+multiplied by a penalty.
 """
 
 from __future__ import annotations
@@ -15,51 +16,53 @@
 from random import Random
 from typing import Final
 
-# A prefix match may load an endpoint up to this multiple of the mean.
+# Prefix affinity may load an endpoint up to this multiple of the mean load.
 AFFINITY_BOUND: Final = 1.25
-# An endpoint is slow when its time to first token is over this multiple of
-# the pool's median; queueing alone stays below it on even load.
+# An endpoint is slow when its time to first token exceeds this multiple of
+# the pool's median. With evenly spread load, queueing alone stays below it.
 SLOW_TTFT_RATIO: Final = 2.0
-# Differences below this are noise of scheduling, not a slow endpoint.
+# Smaller differences from the median are scheduling noise.
 SLOW_TTFT_MARGIN_MS: Final = 20.0
-# Median and ratio say nothing with fewer measured endpoints.
+# With fewer measured endpoints the median is not meaningful.
 MIN_MEASURED: Final = 3
-# At most this share of a pool is down-weighted, so that the others are not
-# overloaded by a wrong verdict.
+# At most one in this many candidates gets a penalty, so that a wrong
+# classification does not overload the others.
 SLOW_SHARE_DIVISOR: Final = 3
 MAX_SLOW_PENALTY: Final = 8.0
-# Share of choices that ignore weights, so that a slow endpoint which has
-# recovered is measured again.
+# Fraction of choices that ignore load and penalties, so that a slow endpoint
+# that has recovered is measured again.
 PROBE_SHARE: Final = 0.02
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """An endpoint that can run the request, with what is known of it."""
+    """Load and latency of an endpoint that can run the request."""
 
     name: str
     failure_domain: str
-    load: int  # requests that run or wait there
-    limit: int  # requests that it runs at once
-    ttft_ms: float = 0.0  # 0 when not measured
-    prefix_blocks: int = 0  # cached blocks of the request's prompt
+    load: int  # running and queued requests
+    limit: int  # maximum of concurrently running requests
+    ttft_ms: float = 0.0  # 0 if not measured
+    prefix_blocks: int = 0  # cached leading blocks of the prompt
 
     @property
     def load_ratio(self) -> float:
-        """Return the load as a share of what the endpoint can run."""
+        """Return the load divided by the concurrency limit."""
         return self.load / max(1, self.limit)
 
 
 @dataclass(frozen=True, slots=True)
 class LocalityPreference:
-    """Where the entry stands and when it looks further."""
+    """Own failure domain, and the load ratio above which others are used."""
 
     failure_domain: str
     spill_ratio: float
 
 
 def slow_penalties(candidates: Sequence[Candidate]) -> dict[str, float]:
-    """Return how much busier slow endpoints are made to look.
+    """Return load multipliers of the slow endpoints, by endpoint name.
+
+    The result is empty when too few endpoints have been measured.
 
     >>> pool = [Candidate(f'e{ms}', 'a', 0, 8, ms) for ms in (50, 52, 54, 400)]
     >>> slow_penalties(pool)
@@ -84,7 +87,7 @@
 
 
 def weighted_load(candidate: Candidate, penalties: dict[str, float]) -> float:
-    """Return the score after one more request, scaled for slow endpoints."""
+    """Return the load ratio with one more request, times any penalty."""
     next_load_ratio = (candidate.load + 1) / max(1, candidate.limit)
     return next_load_ratio * penalties.get(candidate.name, 1.0)
 
@@ -94,7 +97,10 @@
     penalties: dict[str, float],
     random: Random,
 ) -> Candidate:
-    """Return the better one of two drawn endpoints."""
+    """Return the less loaded of two random candidates.
+
+    A fraction `PROBE_SHARE` of the choices is purely random.
+    """
     if len(candidates) == 1:
         return candidates[0]
     if random.random() < PROBE_SHARE:
@@ -107,7 +113,10 @@
     candidates: Sequence[Candidate],
     penalties: dict[str, float],
 ) -> Candidate | None:
-    """Return the holder of the longest prefix within the bound."""
+    """Return the candidate with the longest cached prefix, if any.
+
+    Slow or full candidates, and those over the affinity bound, are skipped.
+    """
     total = sum(candidate.load for candidate in candidates) + 1
     bound = math.ceil(AFFINITY_BOUND * total / len(candidates))
     holders = [
@@ -130,7 +139,7 @@
     penalties: dict[str, float],
     random: Random,
 ) -> Candidate:
-    """Choose without regard to failure domains."""
+    """Choose by prefix, else by load, regardless of failure domains."""
     holder = choose_by_prefix(candidates, penalties)
     if holder is not None:
         return holder
@@ -142,7 +151,11 @@
     preference: LocalityPreference,
     random: Random,
 ) -> Candidate | None:
-    """Return the endpoint for a request; None without candidates."""
+    """Return the candidate for a request, or None if there are none.
+
+    Other failure domains are considered when the own one has no candidate
+    or its choice exceeds the spill ratio.
+    """
     if not candidates:
         return None
     penalties = slow_penalties(candidates)
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -1,4 +1,4 @@
-"""Tests of the retry budget, backoff, token bucket and limits."""
+"""Tests of the retry budget, backoff, token bucket and rate limits."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
 
 @dataclass
 class ManualTime:
-    """Time that a test moves."""
+    """Clock that a test advances."""
 
     now_s: float = 0.0
 
     def read(self) -> float:
-        """Return the time."""
+        """Return the current time."""
         return self.now_s
 
 
 steps = st.lists(
     st.tuples(
-        st.floats(0, 3),  # seconds that pass
+        st.floats(0, 3),  # elapsed seconds
         st.integers(0, 30),  # requests
         st.integers(0, 30),  # wanted retries
     ),
@@ -121,7 +121,7 @@
 
 
 def count_admitted(limits: Limits, wanted: int) -> int:
-    """Return how many of the wanted requests run at once."""
+    """Return how many of the wanted requests are admitted."""
     return sum(limits.admit('barf').is_ok() for _ in range(wanted))
 
 
@@ -130,8 +130,8 @@
     assert count_admitted(make_limits(ManualTime()), 10) == 2
 
 
-def test_released_places_are_used_again_up_to_the_rate() -> None:
-    """Guards against places that leak, and against a rate not enforced."""
+def test_released_slots_are_reused_up_to_the_rate() -> None:
+    """Guards against slots that leak and a rate that is not enforced."""
     limits = make_limits(ManualTime())
     done = 0
     for _ in range(20):
@@ -145,7 +145,7 @@
     ('later_s', 'expected'),
     [(0.0, 3), (ADVICE_TTL_S, 2)],
 )
-def test_advice_holds_until_it_lapses(later_s: float, expected: int) -> None:
+def test_advice_applies_until_it_expires(later_s: float, expected: int) -> None:
     """Guards against shares of a coordinator that is gone."""
     time = ManualTime()
     limits = make_limits(time)
@@ -154,7 +154,7 @@
     assert count_admitted(limits, 10) == expected
 
 
-def test_refusal_says_when_to_come_back() -> None:
+def test_rate_refusal_has_retry_after() -> None:
     """Guards against a rate refusal without a usable `Retry-After`."""
     limits = make_limits(ManualTime())
     refusals = []
@@ -176,13 +176,13 @@
     ),
 )
 def test_shares_add_up_to_the_limit(demand: dict[str, int]) -> None:
-    """Guards against advice that hands out more than the limit."""
+    """Guards against shares that exceed the limit in total."""
     shares = shares_by_demand(demand)
     assert sum(shares.values()) == pytest.approx(1)
     assert min(shares.values()) > 0
 
 
-def test_coordinator_follows_demand_and_forgets_dead_entries() -> None:
+def test_coordinator_follows_demand_and_drops_dead_entries() -> None:
     """Guards against shares that stay with an entry that is gone."""
     time = ManualTime()
     coordinator = Coordinator(time.read)
--- a/tests/test_entry_once.py
+++ b/tests/test_entry_once.py
@@ -56,7 +56,7 @@
 
 
 def test_answer_that_the_service_lost_is_unknown() -> None:
-    """Guards against a second run where the first one's end is unknown."""
+    """Guards against a second run when the first outcome is unknown."""
 
     async def scenario() -> None:
         async with make_fleet(services=2, entries=2) as fleet:
@@ -72,7 +72,7 @@
 
 
 def test_entry_lost_after_its_claim() -> None:
-    """Guards against a run by another entry while the first one's is open."""
+    """Guards against a second run while the first claim is unresolved."""
 
     async def scenario() -> None:
         async with make_fleet(services=1, entries=2) as fleet:
@@ -98,8 +98,8 @@
     anyio.run(scenario)
 
 
-def test_certain_not_run_can_be_sent_again() -> None:
-    """Guards against a key that is used up without a run."""
+def test_request_that_did_not_run_can_be_retried() -> None:
+    """Guards against a key that cannot be reused though nothing ran."""
 
     async def scenario() -> None:
         async with make_fleet(services=1) as fleet:
@@ -131,7 +131,7 @@
 
 
 def test_key_used_for_another_request() -> None:
-    """Guards against the answer of one booking given to another."""
+    """Guards against returning one booking's answer for another."""
 
     async def scenario() -> None:
         async with make_fleet(services=1) as fleet:
@@ -156,7 +156,7 @@
     ids=['expired', 'ahead', 'plain', 'uuid4'],
 )
 def test_unusable_keys(key: str, status: int, ran: str) -> None:
-    """Guards against a run under a key whose record may be gone."""
+    """Guards against a run under a key whose record may have expired."""
 
     async def scenario() -> None:
         async with make_fleet(services=1) as fleet:
@@ -168,8 +168,8 @@
     anyio.run(scenario)
 
 
-def test_fault_inside_the_entry(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against one request's fault that ends the whole entry."""
+def test_exception_in_the_entry(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against an exception in one request that stops the entry."""
 
     async def scenario() -> None:
         async with make_fleet(services=1) as fleet:
@@ -185,7 +185,7 @@
 
 
 def test_outage_of_the_store() -> None:
-    """Guards against a run without a claim, and against harm to others."""
+    """Guards against a run without a claim and failed online requests."""
 
     async def scenario() -> None:
         async with make_fleet(services=1, engines=1) as fleet:
@@ -203,7 +203,7 @@
 
 
 def test_lost_answers_of_the_store() -> None:
-    """Guards against a claim that counts as not made though it was."""
+    """Guards against treating a stored claim as not made."""
 
     async def scenario() -> None:
         async with make_fleet(services=1, entries=2) as fleet:
@@ -217,7 +217,7 @@
     anyio.run(scenario)
 
 
-def test_resend_in_an_outage_is_not_called_not_run() -> None:
+def test_retry_in_an_outage_is_not_reported_as_not_run() -> None:
     """Guards against `not_run` for a request that ran before the outage."""
 
     async def scenario() -> None:
@@ -234,7 +234,7 @@
 
 
 @pytest.mark.parametrize('cause', ['limit', 'no configuration'])
-def test_refused_resend_is_not_called_not_run(
+def test_refused_retry_is_not_reported_as_not_run(
     cause: str,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
--- a/tests/test_entry_requests.py
+++ b/tests/test_entry_requests.py
@@ -17,7 +17,7 @@
 @pytest.mark.parametrize('stream', [True, False])
 @pytest.mark.parametrize('path', ['/v1/completions', '/v1/chat/completions'])
 def test_whole_answer(path: str, stream: bool) -> None:
-    """Guards against a lost or reordered part on the way to the caller."""
+    """Guards against lost or reordered chunks of an answer."""
 
     async def scenario() -> None:
         async with make_fleet(engines=1) as fleet:
@@ -46,7 +46,7 @@
 
 
 def test_sidecar_killed_in_mid_stream() -> None:
-    """Guards against a short or repeated answer after a sidecar's death."""
+    """Guards against truncated or repeated text after a sidecar crash."""
 
     async def scenario() -> None:
         async with make_fleet(engines=2, engine={'step_ms': 5.0}) as fleet:
@@ -87,7 +87,7 @@
 
 
 def test_stream_without_another_endpoint_ends_with_an_error() -> None:
-    """Guards against a short answer that looks whole."""
+    """Guards against a truncated answer that looks complete."""
 
     async def scenario() -> None:
         async with make_fleet(engines=1, engine={'step_ms': 5.0}) as fleet:
@@ -145,7 +145,7 @@
     status: int,
     code: str,
 ) -> None:
-    """Guards against a bad request that runs, or that harms the next one."""
+    """Guards against an invalid request that runs or breaks the next one."""
 
     async def scenario() -> None:
         options = {'max_body_bytes': 4096}
@@ -163,7 +163,7 @@
 
 
 def test_rejection_of_the_engine_reaches_the_caller() -> None:
-    """Guards against a rejected request that is retried or looks unrun."""
+    """Guards against a rejection that is retried or reported as not run."""
 
     async def scenario() -> None:
         async with make_fleet(engines=2) as fleet:
@@ -176,7 +176,7 @@
 
 
 def test_nothing_available_is_not_run() -> None:
-    """Guards against a wrong statement when no endpoint is there."""
+    """Guards against a wrong `ran` value when no endpoint is available."""
 
     async def scenario() -> None:
         async with make_fleet(engines=1) as fleet:
@@ -211,8 +211,8 @@
     anyio.run(scenario)
 
 
-def test_caller_that_leaves_frees_the_endpoint() -> None:
-    """Guards against work for a caller that is gone."""
+def test_caller_disconnect_cancels_the_request() -> None:
+    """Guards against generation for a caller that disconnected."""
 
     async def scenario() -> None:
         async with make_fleet(engines=1, engine={'step_ms': 5.0}) as fleet:
@@ -244,7 +244,7 @@
 
 
 def test_limits_refuse_before_anything_runs() -> None:
-    """Guards against an organisation that takes the others' places."""
+    """Guards against an organisation that exceeds its limit."""
     config = configuration()
     tight = config.organisations['barf'].model_copy(
         update={'requests_per_s': 2.0},
@@ -281,7 +281,7 @@
 
 
 def test_lost_instance_list_keeps_serving() -> None:
-    """Guards against an entry that drops its links with the list."""
+    """Guards against an entry that drops its links with the instance list."""
 
     async def scenario() -> None:
         async with make_fleet(engines=1) as fleet:
@@ -330,7 +330,7 @@
     status: str,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a caller that holds a place or fills the memory."""
+    """Guards against an upload that blocks a slot or fills the memory."""
     limit_s = 0.05 if status == '408' else 60.0
     monkeypatch.setattr(callers_gate, 'BODY_TIMEOUT_S', limit_s)
 
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -1,4 +1,4 @@
-"""Tests of the routing state and of the decisions after a failure."""
+"""Tests of the router, early refusals and retry decisions."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class FixedConfiguration:
-    """A configuration that does not change."""
+    """Configuration holder whose configuration does not change."""
 
     def __init__(self, current: Configuration) -> None:
         self.current = current
@@ -92,7 +92,7 @@
 
 
 class RouterRig:
-    """A router over links that are not connected to anything."""
+    """Router with links that have no connection."""
 
     def __init__(self, config: Configuration | None = None) -> None:
         self.now_s = 0.0
@@ -119,7 +119,7 @@
     def picked_endpoints(
         self, request: OnlineRequest | None = None
     ) -> set[str]:
-        """Return the endpoints that 60 choices lead to."""
+        """Return the endpoints picked in 60 calls."""
         names = set()
         for _ in range(60):
             pick = self.router.pick(request or make_request(), ())
@@ -127,8 +127,8 @@
         return names
 
 
-def test_ejected_endpoint_rests_and_comes_back() -> None:
-    """Guards against new requests for an endpoint that just broke."""
+def test_ejection_expires_and_never_leaves_no_endpoint() -> None:
+    """Guards against new requests to an endpoint that just failed."""
     rig = RouterRig()
     rig.add('good')
     rig.add('bad')
@@ -150,14 +150,14 @@
     ids=str,
 )
 def test_unusable_endpoint_is_never_chosen(more: dict[str, Any]) -> None:
-    """Guards against work for an endpoint that can't or must not run it."""
+    """Guards against requests to an endpoint that cannot run them."""
     rig = RouterRig()
     rig.add('only', **more)
     assert rig.picked_endpoints() == {''}
 
 
 def test_load_counts_what_was_sent_since_the_report() -> None:
-    """Guards against herding to the endpoint whose last report was idle."""
+    """Guards against overload of the endpoint that last reported idle."""
     rig = RouterRig()
     link = rig.add('one', online_running=3, online_queued=1)
     rig.router.running_at_report['one'] = 2
@@ -168,7 +168,7 @@
 
 
 def test_longest_cached_prefix_wins() -> None:
-    """Guards against a hint that ignores how much is cached."""
+    """Guards against prefix affinity that ignores the cached length."""
     names = prefix_hashes('word ' * 64)
     rig = RouterRig()
     rig.add('cold')
@@ -178,8 +178,8 @@
 
 
 @given(words=st.integers(0, 100))
-def test_prefixes_are_named_as_the_engine_names_them(words: int) -> None:
-    """Guards against names that never match the engine's."""
+def test_prefix_hashes_match_those_of_the_engine(words: int) -> None:
+    """Guards against hashes that never match the engine's."""
     prompt = ' '.join(f'w{number}' for number in range(words))
     assert list(prefix_hashes(prompt)) == engine_text.prefix_names(prompt)
 
@@ -188,7 +188,7 @@
     ('share', 'lender_load', 'borrowed', 'expected'),
     [
         (1.0, 0, 0, 'lender'),
-        (1.0, 4, 0, 'own'),  # the lender is busy itself
+        (1.0, 4, 0, 'own'),  # the lender has no free slot
         (0.5, 0, 2, 'own'),  # the rule's share is used up
         (0.5, 0, 1, 'lender'),
     ],
@@ -215,7 +215,7 @@
 
 
 def test_idle_pool_borrows_nothing() -> None:
-    """Guards against borrowing while the own pool has room."""
+    """Guards against borrowing while the own pool has free slots."""
     rule = LendingRule(borrower='orders', lender='spare', work='online')
     pools = {'orders': Pool(model='model'), 'spare': Pool(model='model')}
     rig = RouterRig(configuration(pools=pools, lending=(rule,)))
@@ -249,12 +249,12 @@
         (0, 0.0, 'deadline_exceeded'),
     ],
 )
-def test_hopeless_requests_are_shed_early(
+def test_requests_that_cannot_start_in_time_are_refused(
     load: int,
     remaining_s: float,
     code: str | None,
 ) -> None:
-    """Guards against waiting past the deadline, and needless refusals."""
+    """Guards against queueing past the deadline and needless refusals."""
     rig = RouterRig()
     link = rig.add('one')
     context = ExecuteContext(
@@ -281,7 +281,7 @@
     second: Any,
     idempotent: bool,
 ) -> None:
-    """Guards against a retry of what may have run, and false statements."""
+    """Guards against a second run and a wrong `ran` value."""
     request = make_request(idempotent=idempotent)
     progress = Progress()
     for ran in (first, second):
@@ -304,7 +304,7 @@
     waiting: str,
     earlier: str,
 ) -> None:
-    """Guards against text that is generated or given out twice."""
+    """Guards against text that is lost, generated or sent twice."""
     progress = Progress()
     progress.begin_attempt()
     progress.add_text(earlier, 1)
@@ -319,7 +319,7 @@
 
 
 def test_text_that_does_not_continue_is_not_used() -> None:
-    """Guards against an answer put together from different texts."""
+    """Guards against an answer assembled from two different texts."""
     progress = Progress()
     progress.begin_attempt()
     progress.add_text('one', 1)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Tests of the routing choice."""
+"""Tests of the choice among candidate endpoints."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
     AFFINITY_BOUND,
     Candidate,
     LocalityPreference,
+    choose_by_prefix,
     choose_candidate,
     slow_penalties,
-    choose_by_prefix,
 )
 
 PREFERENCE = LocalityPreference('a', 0.8)
@@ -37,20 +37,20 @@
 
 @given(pool=candidates, seed=st.integers(0, 99))
 def test_choice_is_a_candidate(pool: list[Candidate], seed: int) -> None:
-    """Guards against no choice where an endpoint could take the request."""
+    """Guards against no choice although a candidate is available."""
     chosen = choose_candidate(pool, PREFERENCE, Random(seed))
     assert (chosen in pool) if pool else (chosen is None)
 
 
 @given(pool=candidates)
 def test_at_most_a_third_is_down_weighted(pool: list[Candidate]) -> None:
-    """Guards against a wrong verdict that overloads the few others."""
+    """Guards against overload of the others by a wrong classification."""
     assert len(slow_penalties(pool)) * 3 <= len(pool)
 
 
 @given(pool=candidates)
 def test_prefix_never_overloads(pool: list[Candidate]) -> None:
-    """Guards against a popular prefix that piles up on one endpoint."""
+    """Guards against overload of the endpoint with a popular prefix."""
     holder = choose_by_prefix(pool, {}) if pool else None
     if holder is None:
         return
@@ -94,7 +94,7 @@
 
 
 def test_slow_endpoint_gets_little_but_is_probed() -> None:
-    """Guards against a slow endpoint at full weight, or never measured."""
+    """Guards against a slow endpoint without penalty or never probed."""
     pool = [Candidate(f'e{index}', 'a', 2, 16, 50) for index in range(5)]
     pool.append(Candidate('slow', 'a', 2, 16, 600))
     found = count_choices(pool, tries=10_000)
@@ -102,7 +102,7 @@
 
 
 def test_idle_prefix_holder_is_taken() -> None:
-    """Guards against a hint that has no effect."""
+    """Guards against prefix affinity without effect."""
     pool = [Candidate(f'e{index}', 'a', 2, 16) for index in range(5)]
     pool.append(Candidate('holder', 'a', 1, 16, prefix_blocks=2))
     assert count_choices(pool) == {'holder': 2000}
@@ -110,7 +110,7 @@
 
 @pytest.mark.parametrize('load', [16, 17, 40])
 def test_full_prefix_holder_is_not_taken_for_its_prefix(load: int) -> None:
-    """Guards against waiting at a holder while others are idle."""
+    """Guards against queueing at a prefix holder while others are idle."""
     pool = [Candidate(f'e{index}', 'a', 1, 16) for index in range(5)]
     pool.append(Candidate('holder', 'a', load, 16, prefix_blocks=2))
     assert count_choices(pool)['holder'] < 30
