--- a/src/quetzaldyke/request/router.py
+++ b/src/quetzaldyke/request/router.py
@@ -177,7 +177,7 @@
         return healthy or links
 
     def eject(self, name: str) -> None:
-        """Eject an endpoint; the time doubles with each failure in a row."""
+        """Eject an endpoint for a time that doubles per failure in a row."""
         ejection = self.ejections.setdefault(name, Ejection())
         ejection.failures += 1
         pause = ceiling_s(EJECTION_BACKOFF, ejection.failures)
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -127,7 +127,7 @@
         return names
 
 
-def test_ejection_expires_and_never_leaves_no_endpoint() -> None:
+def test_ejected_endpoint_is_used_only_when_none_is_left() -> None:
     """Guards against new requests to an endpoint that just failed."""
     rig = RouterRig()
     rig.add('good')
