--- a/src/quetzaldyke/request/attempt.py
+++ b/src/quetzaldyke/request/attempt.py
@@ -1,7 +1,7 @@
-"""Runs one attempt of a request over one sidecar link.
+"""Runs one attempt of an online request or batch item over a sidecar link.
 
-Online requests and batch items share it. It keeps the link's in-flight
-counts and the time to first token that routing uses.
+Updates the link's in-flight counts and its mean time to first token, which
+routing uses.
 """
 
 from __future__ import annotations
@@ -21,21 +21,22 @@
 from quetzaldyke.process.fleet import SidecarLink
 
 MS_IN_S: Final = 1000
-# Weight of the newest time to first token; about ten samples count.
+# Weight of the newest sample in the moving average of the time to first
+# token; the average spans about ten samples.
 TTFT_WEIGHT: Final = 0.1
 
 OnBegin = Callable[[CallTable, Call], None]
 
 
-def count_running(link: SidecarLink, submit: Submit, change: int) -> None:
-    """Count a request in or out of the link."""
+def add_running(link: SidecarLink, submit: Submit, change: int) -> None:
+    """Add `change` to the link's count of running requests of its kind."""
     if submit.work == 'batch':
         link.running_batch += change
     else:
         link.running_online += change
 
 
-def note_ttft(link: SidecarLink, sample_ms: float) -> None:
+def update_mean_ttft(link: SidecarLink, sample_ms: float) -> None:
     """Update the link's moving average of the time to first token."""
     if link.ttft_ms == 0:
         link.ttft_ms = sample_ms
@@ -51,25 +52,25 @@
 ) -> AsyncIterator[CallEvent]:
     """Yield the events of one attempt; the last is `End` or `Failed`.
 
-    The request is cancelled at the sidecar when the reader stops early.
+    Closing the iterator early cancels the request at the sidecar.
     """
-    begun_s = read_now_s()
-    waits_for_first = submit.work == 'online'
-    count_running(link, submit, 1)
+    started_s = read_now_s()
+    awaiting_first = submit.work == 'online'
+    add_running(link, submit, 1)
     try:
         call = link.calls.begin(submit)
         if on_begin is not None:
             on_begin(link.calls, call)
         async with aclosing(read_call(link.calls, call)) as events:  # type: ignore[type-var]
             async for event in events:
-                if waits_for_first and isinstance(event, Chunk | End):
-                    waits_for_first = False
-                    note_ttft(link, (read_now_s() - begun_s) * MS_IN_S)
+                if awaiting_first and isinstance(event, Chunk | End):
+                    awaiting_first = False
+                    update_mean_ttft(link, (read_now_s() - started_s) * MS_IN_S)
                 yield event
     finally:
-        count_running(link, submit, -1)
+        add_running(link, submit, -1)
 
 
-def ran_so_far(event: CallEvent) -> bool:
-    """Tell whether an event proves that the endpoint got the request."""
+def proves_receipt(event: CallEvent) -> bool:
+    """Return whether the event proves that the endpoint got the request."""
     return isinstance(event, Started | Chunk | End)
--- a/src/quetzaldyke/request/execute.py
+++ b/src/quetzaldyke/request/execute.py
@@ -1,8 +1,8 @@
 """Runs one online request: routing, attempts, retries and resumption.
 
-A stream that breaks is continued on another endpoint after the text that
-the caller already has. When that is not possible the events end with a
-refusal, never with a short answer that looks whole.
+A broken stream is resumed on another endpoint after the text that the caller
+already has. If that is not possible the events end with a refusal, so that a
+truncated answer never looks complete.
 """
 
 from __future__ import annotations
@@ -38,33 +38,33 @@
     AnswerEvent,
     AnswerText,
     Refusal,
-    crashing,
-    late,
+    crashes_endpoints,
+    deadline_exceeded,
     no_endpoint,
     overloaded,
-    refusal_of,
+    refusal_for_failure,
 )
 from quetzaldyke.request.retry import (
     ANSWER_TOO_LARGE,
     Progress,
-    is_free,
+    is_budget_exempt,
     may_retry,
     unsent_text,
 )
 from quetzaldyke.request.router import Pick, Router
 
 RETRY_AFTER_MS: Final = 1000
-# Answers of plain services are held until their status is known.
+# Answers of plain services are buffered until their status is known.
 MAX_ANSWER_BYTES: Final = 16_777_216
 NO_ENDPOINT: Final = 'no endpoint is available'
-# Weight of the newest request in the mean time that a request takes.
-SERVICE_WEIGHT: Final = 0.05
-RETRY_PAUSES: Final = BackoffOptions(cap_s=0.5)
+# Weight of the newest sample in the moving average of the service time.
+SERVICE_TIME_WEIGHT: Final = 0.05
+RETRY_BACKOFF: Final = BackoffOptions(cap_s=0.5)
 
 
 @dataclass(slots=True)
 class ExecuteContext:
-    """What running requests needs of the entry."""
+    """Entry state that online requests share."""
 
     router: Router
     clock: Clock
@@ -72,21 +72,21 @@
     log_event: LogEvent
     metrics: Metrics
     suspects: SuspectBook
-    budgets: dict[str, RetryBudget] = field(default_factory=dict)
-    service_s: dict[str, float] = field(default_factory=dict)
+    retry_budgets: dict[str, RetryBudget] = field(default_factory=dict)
+    mean_service_s: dict[str, float] = field(default_factory=dict)
     sleep: Callable[[float], Awaitable[None]] = anyio.sleep
 
     def budget(self, pool: str) -> RetryBudget:
-        """Return the retry budget of a pool."""
-        if pool not in self.budgets:
-            self.budgets[pool] = RetryBudget(self.clock.now)
-        return self.budgets[pool]
+        """Return the retry budget of a pool, created on first use."""
+        if pool not in self.retry_budgets:
+            self.retry_budgets[pool] = RetryBudget(self.clock.now)
+        return self.retry_budgets[pool]
 
-    def note_service(self, pool: str, taken_s: float) -> None:
-        """Update the mean time that a request of a pool runs."""
-        mean_s = self.service_s.get(pool, taken_s)
-        mean_s += SERVICE_WEIGHT * (taken_s - mean_s)
-        self.service_s[pool] = mean_s
+    def record_service_time(self, pool: str, elapsed_s: float) -> None:
+        """Update the moving average of a pool's service time."""
+        mean_s = self.mean_service_s.get(pool, elapsed_s)
+        mean_s += SERVICE_TIME_WEIGHT * (elapsed_s - mean_s)
+        self.mean_service_s[pool] = mean_s
 
 
 def make_submit(
@@ -94,10 +94,10 @@
     progress: Progress,
     remaining_s: float,
 ) -> Submit:
-    """Return the message of the next attempt.
+    """Return the message that submits the current attempt.
 
-    Each attempt has its own id, so that a late message of an earlier one
-    can't be taken for it.
+    Each attempt has its own id, so that a delayed message of an earlier
+    attempt is not attributed to it.
     """
     suffix = f'.{progress.attempt}' if progress.attempt > 1 else ''
     return Submit(
@@ -110,8 +110,8 @@
         path=request.path,
         headers=request.headers,
         body=request.body,
-        # Chunks are wanted even for a whole answer: they are what another
-        # endpoint resumes from.
+        # Engines stream even if the caller does not: another endpoint
+        # resumes from the chunks.
         stream=request.kind == 'engine',
         remaining_ms=max(1, int(remaining_s * MS_IN_S)),
         fingerprint=request.fingerprint,
@@ -126,16 +126,16 @@
     request: OnlineRequest,
     pick: Pick | None,
 ) -> Refusal | None:
-    """Refuse what must not run or could not start before its deadline."""
+    """Return a refusal unless the request may run and can start in time."""
     if context.suspects.verdict(request.fingerprint) == 'confirmed':
-        return crashing('not_run')
+        return crashes_endpoints('not_run')
     remaining_s = request.deadline_s - context.clock.now()
     if remaining_s <= 0:
-        return late('not_run')
+        return deadline_exceeded('not_run')
     if pick is None:
         return no_endpoint(request.pool, RETRY_AFTER_MS)
-    ahead = pick.load - pick.limit + 1
-    wait_s = ahead / pick.limit * context.service_s.get(request.pool, 0)
+    queued = pick.load - pick.limit + 1
+    wait_s = queued / pick.limit * context.mean_service_s.get(request.pool, 0)
     if wait_s > remaining_s:
         return overloaded(request.pool, int(wait_s * MS_IN_S))
     return None
@@ -155,8 +155,8 @@
     def watch_deadline(table: CallTable, call: Call) -> None:
         context.deadlines.add(request.deadline_s, table, call)
 
-    # The end of a request names its endpoint; a line for each first attempt
-    # would double the cost of logging.
+    # First attempts are not logged, as that would double the cost of logging;
+    # `request_ended` names their endpoint.
     if progress.attempt > 1:
         context.log_event(
             'request_routed',
@@ -172,8 +172,8 @@
                 yield event
 
 
-def end_of(end: End, progress: Progress) -> AnswerEnd:
-    """Return the caller's form of the end of an answer."""
+def answer_end(end: End, progress: Progress) -> AnswerEnd:
+    """Convert the sidecar's end message to the caller's end event."""
     return AnswerEnd(
         end.status,
         end.headers,
@@ -184,11 +184,11 @@
     )
 
 
-def relay_chunk(chunk: Chunk, progress: Progress) -> AnswerText | None:
-    """Keep a chunk and return what the caller gets of it now.
+def record_chunk(chunk: Chunk, progress: Progress) -> AnswerText | None:
+    """Record a chunk and return its text event, or None for raw bytes.
 
-    Bytes of plain services wait for the end, because the status that goes
-    before them comes with it.
+    Bytes of plain services are buffered until the end message, which
+    carries the status that precedes them.
     """
     if chunk.raw:
         progress.add_raw(chunk.raw)
@@ -198,7 +198,7 @@
 
 
 def answer_too_large(request: OnlineRequest) -> Failed:
-    """Return the failure of an answer that is not held in memory."""
+    """Return the failure for an answer over `MAX_ANSWER_BYTES`."""
     return Failed(request.request_id, 'ran', ANSWER_TOO_LARGE)
 
 
@@ -207,15 +207,18 @@
     request: OnlineRequest,
     progress: Progress,
 ) -> bool:
-    """Wait for the next attempt; False when it must not be made."""
-    failed = progress.failed
+    """Back off before a retry; return False if none is allowed."""
+    failed = progress.failure
     if not may_retry(request, progress, failed):
         return False
-    if not is_free(failed) and not context.budget(request.pool).try_spend():
+    if (
+        not is_budget_exempt(failed)
+        and not context.budget(request.pool).try_spend()
+    ):
         context.log_event('retry_budget_spent', pool=request.pool)
         return False
     pause = pause_s(
-        RETRY_PAUSES,
+        RETRY_BACKOFF,
         progress.attempt,
         context.router.random.uniform,
     )
@@ -225,16 +228,16 @@
     return True
 
 
-def note_failure(
+def record_failure(
     context: ExecuteContext,
     request: OnlineRequest,
     progress: Progress,
     pick: Pick,
     failed: Failed,
 ) -> None:
-    """Record a failed attempt in the request and in the routing state."""
+    """Record and log a failed attempt; eject a disconnected endpoint."""
     name = pick.link.instance.instance
-    progress.note_failure(name, failed)
+    progress.record_failure(name, failed)
     if failed.ran != 'not_run' and pick.link.session.closed:
         context.router.eject(name)
     context.log_event(
@@ -247,77 +250,77 @@
     )
 
 
-async def run_and_relay(
+async def relay_attempt(
     context: ExecuteContext,
     request: OnlineRequest,
     progress: Progress,
     pick: Pick,
 ) -> AsyncIterator[AnswerEvent]:
-    """Yield what one attempt gives the caller."""
+    """Yield the caller's events of one attempt."""
     attempt = run_attempt(context, request, progress, pick)
     async with aclosing(attempt) as events:  # type: ignore[type-var]
         async for event in events:
-            for part in absorb(context, request, progress, pick, event):
+            for part in handle_event(context, request, progress, pick, event):
                 yield part
-            if progress.raw_bytes > MAX_ANSWER_BYTES:
-                progress.failed = answer_too_large(request)
+            if progress.raw_size > MAX_ANSWER_BYTES:
+                progress.failure = answer_too_large(request)
                 progress.ran = 'ran'
                 return
 
 
-def absorb(
+def handle_event(
     context: ExecuteContext,
     request: OnlineRequest,
     progress: Progress,
     pick: Pick,
     event: CallEvent,
 ) -> list[AnswerEvent]:
-    """Add an event to the progress and return what the caller gets of it."""
+    """Update the progress by an event and return the caller's events."""
     match event:
         case Started():
             progress.started_s = context.clock.now()
         case Chunk():
-            part = relay_chunk(event, progress)
+            part = record_chunk(event, progress)
             if part is not None:
-                note_first_part(context, request, progress)
+                record_ttft(context, request, progress)
                 return [part]
         case Failed():
             text, tokens = unsent_text(progress, event)
-            note_failure(context, request, progress, pick, event)
+            record_failure(context, request, progress, pick, event)
             if text:
                 progress.add_text(text, tokens)
                 return [AnswerText(text, tokens)]
         case End():
-            progress.whole = True
-            note_end(context, request, progress, pick)
-            end = end_of(event, progress)
-            raw = b''.join(progress.raws)
+            progress.completed = True
+            record_completion(context, request, progress, pick)
+            end = answer_end(event, progress)
+            raw = b''.join(progress.raw_chunks)
             return [AnswerBytes(raw), end] if raw else [end]
     return []
 
 
-def note_first_part(
+def record_ttft(
     context: ExecuteContext,
     request: OnlineRequest,
     progress: Progress,
 ) -> None:
-    """Record the caller's time to the first token once."""
+    """Record the time to first token if this is the first text."""
     if len(progress.texts) > 1:
         return
-    taken_ms = (context.clock.now() - progress.begun_s) * MS_IN_S
-    context.metrics.observe_ms('ttft_ms', taken_ms, pool=request.pool)
+    elapsed_ms = (context.clock.now() - progress.arrived_s) * MS_IN_S
+    context.metrics.observe_ms('ttft_ms', elapsed_ms, pool=request.pool)
 
 
-def note_end(
+def record_completion(
     context: ExecuteContext,
     request: OnlineRequest,
     progress: Progress,
     pick: Pick,
 ) -> None:
-    """Record a whole answer."""
-    taken_s = context.clock.now() - (progress.started_s or progress.begun_s)
-    context.router.note_success(pick.link.instance.instance)
-    context.note_service(request.pool, taken_s)
+    """Update statistics and log for a completed answer."""
+    elapsed_s = context.clock.now() - (progress.started_s or progress.arrived_s)
+    context.router.record_success(pick.link.instance.instance)
+    context.record_service_time(request.pool, elapsed_s)
     context.metrics.count('requests_total', pool=request.pool, ran='ran')
     context.log_event(
         'request_ended',
@@ -328,12 +331,12 @@
     )
 
 
-def note_refusal(
+def record_refusal(
     context: ExecuteContext,
     request: OnlineRequest,
     refusal: Refusal,
 ) -> None:
-    """Record a request that ended without an answer."""
+    """Count and log a request that ended without an answer."""
     context.metrics.count(
         'refusals_total',
         pool=request.pool,
@@ -352,23 +355,25 @@
     context: ExecuteContext,
     request: OnlineRequest,
 ) -> AsyncIterator[AnswerEvent]:
-    """Yield the answer of one request; the last event ends or refuses it."""
+    """Yield the events of a request, ending with an end or a refusal."""
     context.budget(request.pool).deposit()
     progress = Progress(context.clock.now())
     refusal: Refusal | None = None
     while refusal is None:
-        progress.failed = Failed(request.request_id, 'not_run', NO_ENDPOINT)
-        pick = context.router.pick(request, progress.failed_on)
-        early = refuse_early(context, request, pick)
-        if early is None and pick is not None:
-            parts = run_and_relay(context, request, progress, pick)
+        progress.failure = Failed(request.request_id, 'not_run', NO_ENDPOINT)
+        pick = context.router.pick(request, progress.failed_endpoints)
+        early_refusal = refuse_early(context, request, pick)
+        if early_refusal is None and pick is not None:
+            parts = relay_attempt(context, request, progress, pick)
             async with aclosing(parts) as opened:  # type: ignore[type-var]
                 async for part in opened:
                     yield part
-        if progress.whole:
+        if progress.completed:
             return
-        refusal = await retry_or_refuse(context, request, progress, early)
-    note_refusal(context, request, refusal)
+        refusal = await retry_or_refuse(
+            context, request, progress, early_refusal
+        )
+    record_refusal(context, request, refusal)
     yield refusal
 
 
@@ -376,15 +381,15 @@
     context: ExecuteContext,
     request: OnlineRequest,
     progress: Progress,
-    early: Refusal | None,
+    early_refusal: Refusal | None,
 ) -> Refusal | None:
-    """Wait for the next attempt, or return why there is none."""
-    if early is not None and not progress.attempt:
-        return early
-    if early is not None and early.status != HTTP_UNAVAILABLE:
-        return replace(early, ran=progress.ran)
+    """Return None after the backoff, or the refusal if no retry follows."""
+    if early_refusal is not None and not progress.attempt:
+        return early_refusal
+    if early_refusal is not None and early_refusal.status != HTTP_UNAVAILABLE:
+        return replace(early_refusal, ran=progress.ran)
     if await pause_before_retry(context, request, progress):
         return None
-    if early is not None:
-        return replace(early, ran=progress.ran)
-    return refusal_of(progress.failed, progress.ran)
+    if early_refusal is not None:
+        return replace(early_refusal, ran=progress.ran)
+    return refusal_for_failure(progress.failure, progress.ran)
--- a/src/quetzaldyke/request/model.py
+++ b/src/quetzaldyke/request/model.py
@@ -1,4 +1,4 @@
-"""One request as the entry sees it, from the caller's body or headers."""
+"""Defines an online request and parses the bodies of generation requests."""
 
 from __future__ import annotations
 
@@ -23,27 +23,27 @@
 CHAT_PATH: Final = '/v1/chat/completions'
 
 
-class Lenient(BaseModel):
-    """Body that keeps fields that only the engine understands."""
+class PermissiveModel(BaseModel):
+    """Immutable model that keeps unknown fields for the engine."""
 
     model_config = ConfigDict(extra='allow', frozen=True)
 
 
-class ChatMessage(Lenient):
+class ChatMessage(PermissiveModel):
     """One message of a conversation."""
 
     role: str
     content: str | list[dict[str, object]] | None = None
 
 
-class StreamOptions(Lenient):
-    """Options of a streamed answer."""
+class StreamOptions(PermissiveModel):
+    """Streaming options of a generation request."""
 
     include_usage: bool = False
 
 
-class GenerationBody(Lenient):
-    """Fields that both generation paths share."""
+class GenerationBody(PermissiveModel):
+    """Fields common to both generation endpoints."""
 
     model: Annotated[str, Field(min_length=1)]
     stream: bool = False
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OnlineRequest:
-    """One online request on its way through the entry."""
+    """A validated online request."""
 
     request_id: str
     organisation: str
@@ -87,7 +87,7 @@
 
 
 def new_request_id() -> str:
-    """Return an id for a request."""
+    """Return a random request id."""
     return f'req-{secrets.token_hex(REQUEST_ID_BYTES)}'
 
 
@@ -95,16 +95,19 @@
     path: str,
     body: bytes,
 ) -> Result[GenerationBody, Refusal]:
-    """Validate a generation body; findings name the field."""
+    """Validate a generation body, or return a refusal.
+
+    The refusal's message lists the invalid fields.
+    """
     model = ChatBody if path == CHAT_PATH else CompletionBody
     try:
         return Ok(model.model_validate_json(body))
     except ModelError as exc:
-        found = exc.errors(include_input=False, include_url=False)
-    not_json = any(one['type'] == 'json_invalid' for one in found)
+        errors = exc.errors(include_input=False, include_url=False)
+    not_json = any(error['type'] == 'json_invalid' for error in errors)
     text = '; '.join(
-        f'{".".join(str(part) for part in one["loc"])}: {one["msg"]}'
-        for one in found
+        f'{".".join(str(part) for part in error["loc"])}: {error["msg"]}'
+        for error in errors
     )
     status = HTTP_BAD_REQUEST if not_json else HTTP_UNPROCESSABLE
     code = 'invalid_json' if not_json else 'invalid_body'
--- a/src/quetzaldyke/request/once.py
+++ b/src/quetzaldyke/request/once.py
@@ -1,9 +1,10 @@
-"""Runs a non-idempotent request at most once over the whole fleet.
+"""Runs a non-idempotent request at most once across the fleet.
 
-A durable claim under the caller's key precedes the first byte to a
-sidecar. The run goes on when its caller is gone, and its outcome is
-recorded, so that a resend through any entry gets the first run's answer.
-What can't be known is answered as `unknown`, never run again.
+A durable claim on the caller's idempotency key is written before anything
+is sent to a sidecar. The request keeps running if its caller disconnects,
+and its outcome is recorded, so that a retry through any entry gets the same
+answer. If it is not known whether the request ran, a retry is answered with
+`unknown` and never run again.
 """
 
 from __future__ import annotations
@@ -40,7 +41,7 @@
     AnswerEvent,
     Refusal,
     incomplete,
-    ran_of,
+    parse_ran,
 )
 from quetzaldyke.request.outcome_record import (
     pack_outcome,
@@ -48,45 +49,46 @@
 )
 
 UUID_VERSION: Final = 7
-# Codes of the ledger that speak of the key, not of the service.
-KEY_CODES: Final = frozenset(('expired_key', 'future_key'))
-# A UUIDv7 has its time in ms in the upper 48 of 128 bits.
-UUID_TIME_SHIFT: Final = 80
-# A key from further ahead than clocks differ would outlive its record.
-MAX_AHEAD_MS: Final = 60_000
+# Error codes of the claim ledger that are caused by the key itself.
+KEY_ERROR_CODES: Final = frozenset(('expired_key', 'future_key'))
+# The upper 48 of the 128 bits of a UUIDv7 are its timestamp in ms.
+UUID_TIMESTAMP_SHIFT: Final = 80
+# Largest tolerated clock difference: a key whose timestamp is further ahead
+# would still be accepted after its record has expired.
+MAX_CLOCK_SKEW_MS: Final = 60_000
 CLAIM_RETRY_MS: Final = 1000
-# The ledger keeps outcomes that an outage held back; this is how often it
-# tries to write them.
+# How often the ledger retries outcomes that it could not write because the
+# store was unavailable.
 SETTLE_INTERVAL_S: Final = 1.0
 
 
 @dataclass(slots=True)
 class OnceContext:
-    """What non-idempotent requests need of the entry."""
+    """Entry state that non-idempotent requests share."""
 
     execute: ExecuteContext
     ledger: ClaimLedger
     group: TaskGroup
     retention_s: float
     read_wall_ms: Callable[[], int] = wall_clock_ms
-    # Runs that may go on without their caller.
+    # Number of claimed requests that are running; their callers may be gone.
     running: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class OwnClaim:
-    """A claim that this process made and must settle."""
+class HeldClaim:
+    """A claim that this process holds and has to record or release."""
 
     key_hash: str
     claim_id: str
 
 
-def created_ms_of(key: str) -> int | None:
-    """Return the time in a UUIDv7, or None for any other text.
+def uuid7_timestamp_ms(key: str) -> int | None:
+    """Return the timestamp of a UUIDv7, or None for any other text.
 
-    >>> created_ms_of('01890a5d-ac96-774b-bcce-b302099a8057')
+    >>> uuid7_timestamp_ms('01890a5d-ac96-774b-bcce-b302099a8057')
     1688096058518
-    >>> created_ms_of('order-17')
+    >>> uuid7_timestamp_ms('order-17')
     """
     try:
         parsed = uuid.UUID(key)
@@ -94,15 +96,19 @@
         return None
     if parsed.version != UUID_VERSION:
         return None
-    return parsed.int >> UUID_TIME_SHIFT
+    return parsed.int >> UUID_TIMESTAMP_SHIFT
 
 
-def check_key(
+def validate_key(
     context: OnceContext,
     key: str,
 ) -> Result[int, Refusal]:
-    """Return the time of a usable key."""
-    created_ms = created_ms_of(key)
+    """Return the key's timestamp in ms, or why the key is refused.
+
+    The key must be a UUIDv7 within the retention time that is at most
+    `MAX_CLOCK_SKEW_MS` ahead of the clock.
+    """
+    created_ms = uuid7_timestamp_ms(key)
     if created_ms is None:
         return Err(
             Refusal(
@@ -123,7 +129,7 @@
                 'unknown',
             ),
         )
-    if age_ms < -MAX_AHEAD_MS:
+    if age_ms < -MAX_CLOCK_SKEW_MS:
         return Err(
             Refusal(
                 HTTP_UNPROCESSABLE,
@@ -135,8 +141,8 @@
     return Ok(created_ms)
 
 
-def key_hash_of(request: OnlineRequest) -> str:
-    """Return the claim's key; the organisation is part of it."""
+def claim_key_hash(request: OnlineRequest) -> str:
+    """Return the hash of organisation, pool and idempotency key."""
     digest = hashlib.sha256()
     for part in (request.organisation, request.pool, request.idempotency_key):
         text = part.encode()
@@ -145,20 +151,22 @@
     return digest.hexdigest()
 
 
-def claim_refused(error: ClaimError) -> Refusal:
-    """Return the refusal when a claim could not be made."""
-    status = HTTP_CONFLICT if error.code in KEY_CODES else HTTP_UNAVAILABLE
+def claim_failed(error: ClaimError) -> Refusal:
+    """Return the refusal for a claim that could not be made."""
+    status = (
+        HTTP_CONFLICT if error.code in KEY_ERROR_CODES else HTTP_UNAVAILABLE
+    )
     return Refusal(
         status,
         error.code,
         'the claim of the request could not be recorded',
-        ran_of(error.kind),
+        parse_ran(error.kind),
         0 if status == HTTP_CONFLICT else CLAIM_RETRY_MS,
     )
 
 
-def still_running() -> Refusal:
-    """Return the answer while another run of the key has no outcome."""
+def run_in_progress() -> Refusal:
+    """Return the refusal while another run of the key has no outcome."""
     return Refusal(
         HTTP_CONFLICT,
         'in_progress',
@@ -169,7 +177,7 @@
 
 
 def key_reused() -> Refusal:
-    """Return the refusal of a key that belongs to another request."""
+    """Return the refusal of a key that was used for another request."""
     return Refusal(
         HTTP_UNPROCESSABLE,
         'idempotency_key_reused',
@@ -182,22 +190,25 @@
     context: OnceContext,
     request: OnlineRequest,
 ) -> AsyncIterator[AnswerEvent]:
-    """Yield the answer of the only run under the request's key."""
-    checked = check_key(context, request.idempotency_key)
+    """Yield the events of the only run under the request's key.
+
+    A retry gets the recorded events, or a refusal if there are none yet.
+    """
+    checked = validate_key(context, request.idempotency_key)
     if isinstance(checked, Err):
         yield checked.err_value
         return
-    key_hash = key_hash_of(request)
+    key_hash = claim_key_hash(request)
     claimed = await context.ledger.claim_or_wait(key_hash, checked.ok_value)
     if isinstance(claimed, Err):
-        yield claim_refused(claimed.err_value)
+        yield claim_failed(claimed.err_value)
         return
     match claimed.ok_value:
         case Recorded(outcome=outcome):
             for event in recorded_events(request, outcome):
                 yield event
         case InProgress():
-            yield still_running()
+            yield run_in_progress()
         case Claimed(claim_id=claim_id):
             events = run_detached(context, request, key_hash, claim_id)
             async with aclosing(events) as opened:  # type: ignore[type-var]
@@ -209,7 +220,7 @@
     request: OnlineRequest,
     outcome: bytes,
 ) -> list[AnswerEvent]:
-    """Return the events of a recorded outcome."""
+    """Return the recorded events, or a refusal for a different request."""
     record = unpack_outcome(outcome)
     if record.fingerprint != request.fingerprint:
         return [key_reused()]
@@ -222,52 +233,56 @@
     key_hash: str,
     claim_id: str,
 ) -> AsyncIterator[AnswerEvent]:
-    """Run a claimed request in a task that outlives its caller."""
-    sink, source = anyio.create_memory_object_stream[AnswerEvent](math.inf)
+    """Run a claimed request in a background task and yield its events.
+
+    The task continues if the caller disconnects.
+    """
+    sender, receiver = anyio.create_memory_object_stream[AnswerEvent](math.inf)
     context.running += 1
     context.group.start_soon(
         run_claimed,
         context,
         request,
-        OwnClaim(key_hash, claim_id),
-        sink,
+        HeldClaim(key_hash, claim_id),
+        sender,
     )
-    with source:
-        async for event in source:
+    with receiver:
+        async for event in receiver:
             yield event
 
 
 async def run_claimed(
     context: OnceContext,
     request: OnlineRequest,
-    claim: OwnClaim,
-    sink: MemoryObjectSendStream[AnswerEvent],
+    claim: HeldClaim,
+    sender: MemoryObjectSendStream[AnswerEvent],
 ) -> None:
-    """Run a claimed request to its end and record the outcome."""
+    """Run a claimed request, settle its claim, then send the last event."""
     try:
-        events = await run_to_end(context, request, sink)
-        await settle(context, request, claim, events)
-        give(sink, events[-1])
+        events = await run_to_end(context, request, sender)
+        await record_or_release(context, request, claim, events)
+        send_to_caller(sender, events[-1])
     finally:
         context.running -= 1
-        sink.close()
+        sender.close()
 
 
 async def run_to_end(
     context: OnceContext,
     request: OnlineRequest,
-    sink: MemoryObjectSendStream[AnswerEvent],
+    sender: MemoryObjectSendStream[AnswerEvent],
 ) -> list[AnswerEvent]:
-    """Run a request and return its events; the last one ends it.
+    """Run a request and return all events, ending with an end or refusal.
 
-    The task belongs to the entry, so a fault here must not end the entry.
+    Exceptions are logged and not raised, since the task runs in the entry's
+    task group and would otherwise stop the entry.
     """
     events: list[AnswerEvent] = []
     try:
         async for event in execute_online(context.execute, request):
             events.append(event)
             if not isinstance(event, AnswerEnd | Refusal):
-                give(sink, event)
+                send_to_caller(sender, event)
     except Exception as exc:
         context.execute.log_event(
             'run_failed',
@@ -279,27 +294,27 @@
     return events
 
 
-def give(
-    sink: MemoryObjectSendStream[AnswerEvent],
+def send_to_caller(
+    sender: MemoryObjectSendStream[AnswerEvent],
     event: AnswerEvent,
 ) -> None:
-    """Hand an event to the caller if it is still there."""
+    """Send an event to the caller unless it has disconnected."""
     try:
-        sink.send_nowait(event)
+        sender.send_nowait(event)
     except anyio.BrokenResourceError:
         return
 
 
-async def settle(
+async def record_or_release(
     context: OnceContext,
     request: OnlineRequest,
-    claim: OwnClaim,
+    claim: HeldClaim,
     events: list[AnswerEvent],
 ) -> None:
-    """Record the outcome, or give the claim back when nothing ran.
+    """Record the outcome, or release the claim if the request did not run.
 
-    The record goes before the answer, so that a resend after a lost answer
-    finds it. The ledger repeats what an outage held back.
+    The outcome is recorded before the end is sent, so that a retry after a
+    lost answer finds it. The ledger retries writes that fail in an outage.
     """
     last = events[-1]
     if isinstance(last, Refusal) and last.ran == 'not_run':
--- a/src/quetzaldyke/request/outcome_record.py
+++ b/src/quetzaldyke/request/outcome_record.py
@@ -1,7 +1,7 @@
-"""Stored form of the outcome of a non-idempotent request.
+"""Serialises the outcome of a non-idempotent request.
 
-It holds the request's fingerprint, so that a key that is used again for
-another request is noticed instead of getting the first one's answer.
+The record contains the request's fingerprint, so that the reuse of a key
+for another request is detected instead of getting the first answer.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
     AnswerEvent,
     AnswerText,
     Refusal,
-    ran_of,
+    parse_ran,
 )
 
 ANSWER: Final = 'answer'
@@ -26,17 +26,26 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeRecord:
-    """A recorded outcome and the request that it belongs to."""
+    """Recorded events and the fingerprint of their request."""
 
     fingerprint: str
     events: list[AnswerEvent]
 
 
 def pack_outcome(fingerprint: str, events: list[AnswerEvent]) -> bytes:
-    """Return the stored form of an answer's events."""
-    text = ''.join(one.text for one in events if isinstance(one, AnswerText))
-    tokens = sum(one.tokens for one in events if isinstance(one, AnswerText))
-    raw = b''.join(one.raw for one in events if isinstance(one, AnswerBytes))
+    """Serialise events; the last must be an end or a refusal.
+
+    Raises ValueError otherwise.
+    """
+    text = ''.join(
+        event.text for event in events if isinstance(event, AnswerText)
+    )
+    tokens = sum(
+        event.tokens for event in events if isinstance(event, AnswerText)
+    )
+    raw = b''.join(
+        event.raw for event in events if isinstance(event, AnswerBytes)
+    )
     last = events[-1]
     match last:
         case AnswerEnd():
@@ -53,12 +62,12 @@
             fields = [last.status, last.code, last.message, last.ran]
             row = [REFUSAL, fingerprint, text, tokens, raw, fields]
         case _:
-            raise ValueError('the events have no end')
+            raise ValueError('the last event is not AnswerEnd or Refusal')
     return bytes(msgpack.packb(row))
 
 
 def unpack_outcome(stored: bytes) -> OutcomeRecord:
-    """Return a recorded outcome."""
+    """Return the outcome that `pack_outcome` serialised."""
     kind, fingerprint, text, tokens, raw, fields = msgpack.unpackb(stored)
     events: list[AnswerEvent] = []
     if text:
@@ -69,5 +78,5 @@
         events.append(AnswerEnd(*fields))
     else:
         status, code, message, ran = fields
-        events.append(Refusal(status, code, message, ran_of(ran)))
+        events.append(Refusal(status, code, message, parse_ran(ran)))
     return OutcomeRecord(fingerprint, events)
--- a/src/quetzaldyke/request/prefixes.py
+++ b/src/quetzaldyke/request/prefixes.py
@@ -1,8 +1,8 @@
-"""Names of a prompt's prefixes, as engines name them in cache events.
+"""Computes hashes of a prompt's prefixes, as engines send in cache events.
 
-A name is the start of the SHA-256 over the words of one or more whole
-blocks. Engines that name blocks differently never match, and routing then
-goes by load alone.
+A hash is the truncated SHA-256 of the words of one or more complete blocks.
+Hashes of engines with another scheme never match, and routing then uses the
+load alone.
 """
 
 from __future__ import annotations
@@ -14,40 +14,45 @@
 from quetzaldyke.request.model import ChatBody, CompletionBody, GenerationBody
 
 BLOCK_WORDS: Final = 16
-NAME_CHARS: Final = 16
-# Longer prefixes would cost more to hash than the hint is worth.
+HASH_CHARS: Final = 16
+# Hashing longer prefixes would cost more than prefix affinity gains.
 MAX_BLOCKS: Final = 64
 
 
 def prompt_of(body: GenerationBody) -> str:
-    """Return the text of a request in the order in which engines read it."""
+    """Return the prompt text in the order in which engines read it."""
     match body:
         case ChatBody(messages=messages):
-            return '\n'.join(text_of(one.content) for one in messages)
+            return '\n'.join(
+                message_text(message.content) for message in messages
+            )
         case CompletionBody(prompt=prompt):
             return prompt
     return ''
 
 
-def text_of(content: str | Sequence[dict[str, object]] | None) -> str:
-    """Return the text of a message, given as text or as parts."""
+def message_text(content: str | Sequence[dict[str, object]] | None) -> str:
+    """Return the text of message content, given as text or as parts."""
     if content is None or isinstance(content, str):
         return content or ''
     return ''.join(str(part.get('text', '')) for part in content)
 
 
-def prefix_names(prompt: str) -> tuple[str, ...]:
-    """Return the name of each whole block's prefix, shortest first.
+def prefix_hashes(prompt: str) -> tuple[str, ...]:
+    """Return the hash of the prefix up to each block, shortest first.
 
-    >>> prefix_names('too short')
+    An incomplete last block is ignored, and so are blocks after
+    `MAX_BLOCKS`.
+
+    >>> prefix_hashes('too short')
     ()
     """
     words = prompt.split(maxsplit=BLOCK_WORDS * MAX_BLOCKS)
     digest = hashlib.sha256()
-    names = []
+    hashes = []
     for end in range(BLOCK_WORDS, len(words) + 1, BLOCK_WORDS):
         block = ' '.join(words[end - BLOCK_WORDS : end])
-        glue = ' ' if end > BLOCK_WORDS else ''
-        digest.update(f'{glue}{block}'.encode())
-        names.append(digest.hexdigest()[:NAME_CHARS])
-    return tuple(names[:MAX_BLOCKS])
+        separator = ' ' if end > BLOCK_WORDS else ''
+        digest.update(f'{separator}{block}'.encode())
+        hashes.append(digest.hexdigest()[:HASH_CHARS])
+    return tuple(hashes[:MAX_BLOCKS])
--- a/src/quetzaldyke/request/router.py
+++ b/src/quetzaldyke/request/router.py
@@ -1,8 +1,8 @@
-"""What routing remembers between requests, and the choice for one request.
+"""Keeps the routing state of an entry and picks the endpoint of an attempt.
 
-A link's load is the last report corrected by what this entry has sent and
-finished since. Endpoints whose connection broke under a request are ejected
-for a short time that doubles while it goes on.
+A link's load is its last report, corrected by the requests that this entry
+has sent and finished since then. An endpoint whose connection broke during
+a request is ejected for a time that doubles with each further failure.
 """
 
 from __future__ import annotations
@@ -20,28 +20,33 @@
 from quetzaldyke.parts.timers import Clock
 from quetzaldyke.process.fleet import Fleet, SidecarLink
 from quetzaldyke.request.model import OnlineRequest
-from quetzaldyke.request.routing import Candidate, Preference, choose
+from quetzaldyke.request.routing import (
+    Candidate,
+    LocalityPreference,
+    choose_candidate,
+)
 from quetzaldyke.version.configuration import Configuration, Pool
 
 EJECTION_BASE_S: Final = 1.0
 EJECTION_CAP_S: Final = 30.0
-EJECTION: Final = BackoffOptions(EJECTION_BASE_S, EJECTION_CAP_S)
-# Work is borrowed only once the own pool has no free slot.
-SATURATED: Final = 1.0
+EJECTION_BACKOFF: Final = BackoffOptions(EJECTION_BASE_S, EJECTION_CAP_S)
+# Endpoints are borrowed only at or above this load ratio of the own pool's
+# choice, that is when it has no free slot.
+SATURATION_RATIO: Final = 1.0
 DEFAULT_POOL: Final = Pool()
 
 
-class Holder(Protocol):
-    """Gives the configuration in force."""
+class ConfigurationHolder(Protocol):
+    """Provides the current configuration."""
 
     @property
     def current(self) -> Configuration:
-        """Return the configuration in force."""
+        """Return the current configuration."""
 
 
 @dataclass(slots=True)
 class Ejection:
-    """An endpoint that gets no requests for a while."""
+    """Consecutive failures of an endpoint and the end of its ejection."""
 
     failures: int = 0
     until_s: float = 0.0
@@ -49,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pick:
-    """The chosen endpoint and what is known of its load."""
+    """The chosen endpoint with its load and concurrency limit."""
 
     link: SidecarLink
     load: int
@@ -58,36 +63,37 @@
 
 @dataclass(slots=True)
 class Router:
-    """Routing state of one entry."""
+    """Picks endpoints by reported load, ejections and lending rules."""
 
     fleet: Fleet
-    holder: Holder
+    holder: ConfigurationHolder
     clock: Clock
     random: Random = field(default_factory=Random)
-    at_report: dict[str, int] = field(default_factory=dict)
+    running_at_report: dict[str, int] = field(default_factory=dict)
     ejections: dict[str, Ejection] = field(default_factory=dict)
     borrowed: Counter[tuple[str, str]] = field(default_factory=Counter)
 
     async def on_report(self, session: PeerSession, message: Message) -> None:
-        """Remember how many own requests the report already counts."""
+        """Store how many requests of this entry the report already counts."""
         link = self.fleet.link_of(session)
         if link is not None and isinstance(message, Report):
-            self.at_report[link.instance.instance] = link.running_online
+            self.running_at_report[link.instance.instance] = link.running_online
 
     def pick(
         self,
         request: OnlineRequest,
         avoided: Collection[str],
     ) -> Pick | None:
-        """Choose the endpoint of an attempt; None when there is none.
+        """Return the endpoint for an attempt, or None if there is none.
 
-        Endpoints that already failed the request are used again only when
-        no other is left.
+        Another pool's endpoint is used if the own pool's choice has no free
+        slot and a lending rule allows it. Endpoints in `avoided`, on which
+        the request already failed, are used only if no other is available.
         """
-        links = self.serving(request.pool)
+        links = self.links_serving(request.pool)
         chosen = self.choose_link(request, links, avoided)
-        if chosen is None or chosen.load >= chosen.limit * SATURATED:
-            lent = self.lent_links(request.pool)
+        if chosen is None or chosen.load >= chosen.limit * SATURATION_RATIO:
+            lent = self.borrowable_links(request.pool)
             borrowed = self.choose_link(request, lent, avoided)
             if borrowed is not None:
                 return borrowed
@@ -99,17 +105,17 @@
         links: list[SidecarLink],
         avoided: Collection[str],
     ) -> Pick | None:
-        """Choose among links, leaving out the avoided names."""
+        """Choose among the links whose instance is not in `avoided`."""
         by_name = {
-            one.instance.instance: one
-            for one in links
-            if one.instance.instance not in avoided
+            link.instance.instance: link
+            for link in links
+            if link.instance.instance not in avoided
         }
         healthy = self.not_ejected(by_name)
         pool = self.pool_of(request.pool)
-        chosen = choose(
-            [self.candidate(one, request) for one in healthy.values()],
-            Preference(self.fleet.own.failure_domain, pool.spill_ratio),
+        chosen = choose_candidate(
+            [self.candidate(link, request) for link in healthy.values()],
+            LocalityPreference(self.fleet.own.failure_domain, pool.spill_ratio),
             self.random,
         )
         if chosen is None:
@@ -117,14 +123,16 @@
         return Pick(by_name[chosen.name], chosen.load, chosen.limit)
 
     def pool_of(self, name: str) -> Pool:
-        """Return the configuration of a pool."""
+        """Return the configuration of a pool, or the default one."""
         return self.holder.current.pools.get(name, DEFAULT_POOL)
 
-    def serving(self, pool: str) -> list[SidecarLink]:
-        """Return the usable links whose endpoint serves the pool's model."""
-        wanted = self.pool_of(pool)
+    def links_serving(self, pool: str) -> list[SidecarLink]:
+        """Return the pool's usable links whose endpoint serves its model."""
+        pool_config = self.pool_of(pool)
         return [
-            link for link in self.fleet.links_of(pool) if serves(link, wanted)
+            link
+            for link in self.fleet.links_of(pool)
+            if serves(link, pool_config)
         ]
 
     def candidate(
@@ -132,7 +140,7 @@
         link: SidecarLink,
         request: OnlineRequest | None = None,
     ) -> Candidate:
-        """Return what routing needs to know of a link."""
+        """Return the routing candidate for a link."""
         report = link.report
         limit = report.limit if report else 1
         return Candidate(
@@ -145,20 +153,20 @@
         )
 
     def load_of(self, link: SidecarLink) -> int:
-        """Return the online requests that run or wait at an endpoint."""
+        """Return the estimated online requests running or queued there."""
         report = link.report
         if report is None:
             return link.running_online
-        counted = self.at_report.get(link.instance.instance, 0)
-        since = link.running_online - counted
+        in_report = self.running_at_report.get(link.instance.instance, 0)
+        since_report = link.running_online - in_report
         reported = report.online_running + report.online_queued
-        return max(link.running_online, reported + since)
+        return max(link.running_online, reported + since_report)
 
     def not_ejected(
         self,
         links: dict[str, SidecarLink],
     ) -> dict[str, SidecarLink]:
-        """Leave out ejected endpoints unless that would leave none."""
+        """Return the links that are not ejected, or all if none is left."""
         now_s = self.clock.now()
         healthy = {
             name: link
@@ -169,29 +177,29 @@
         return healthy or links
 
     def eject(self, name: str) -> None:
-        """Keep new requests from an endpoint that failed one."""
+        """Eject an endpoint for a time that doubles per failure in a row."""
         ejection = self.ejections.setdefault(name, Ejection())
         ejection.failures += 1
-        pause = ceiling_s(EJECTION, ejection.failures)
+        pause = ceiling_s(EJECTION_BACKOFF, ejection.failures)
         ejection.until_s = self.clock.now() + pause
 
-    def note_success(self, name: str) -> None:
-        """Forget the failures of an endpoint that answered."""
+    def record_success(self, name: str) -> None:
+        """Clear the failures and the ejection of an endpoint."""
         self.ejections.pop(name, None)
 
-    def lent_links(self, borrower: str) -> list[SidecarLink]:
-        """Return the links of other pools that may run online work now."""
+    def borrowable_links(self, borrower: str) -> list[SidecarLink]:
+        """Return lenders' links that may run online work of the borrower."""
         pools = self.holder.current.pools
         if borrower not in pools:
             return []
-        found: list[SidecarLink] = []
+        links: list[SidecarLink] = []
         for rule in self.holder.current.lending:
             if rule.borrower != borrower or rule.work != 'online':
                 continue
             if rule.when != 'idle':
                 continue
-            found.extend(self.idle_links(borrower, rule.lender, rule.max_share))
-        return found
+            links.extend(self.idle_links(borrower, rule.lender, rule.max_share))
+        return links
 
     def idle_links(
         self,
@@ -199,20 +207,30 @@
         lender: str,
         max_share: float,
     ) -> list[SidecarLink]:
-        """Return a lender's links with room within the rule's share."""
-        wanted = self.pool_of(borrower)
+        """Return the lender's links below its spill ratio.
+
+        The list is empty when the borrower already uses its maximum share
+        of the lender's slots.
+        """
+        pool_config = self.pool_of(borrower)
         links = [
-            link for link in self.fleet.links_of(lender) if serves(link, wanted)
+            link
+            for link in self.fleet.links_of(lender)
+            if serves(link, pool_config)
         ]
         slots = sum(self.candidate(link).limit for link in links)
         if self.borrowed[borrower, lender] + 1 > max_share * slots:
             return []
-        spill = self.pool_of(lender).spill_ratio
-        return [link for link in links if self.candidate(link).score < spill]
+        max_load_ratio = self.pool_of(lender).spill_ratio
+        return [
+            link
+            for link in links
+            if self.candidate(link).load_ratio < max_load_ratio
+        ]
 
     @contextmanager
     def borrowing(self, request: OnlineRequest, pick: Pick) -> Iterator[None]:
-        """Count an attempt that runs on a lender's endpoint."""
+        """Count the attempt as borrowed while it runs on another pool."""
         lender = pick.link.instance.pool
         if lender == request.pool:
             yield
@@ -225,23 +243,27 @@
 
 
 def cached_blocks(report: Report | None, request: OnlineRequest | None) -> int:
-    """Return how many blocks of the prompt an endpoint has cached."""
+    """Return the length in blocks of the longest cached prefix."""
     if report is None or request is None or not request.prefixes:
         return 0
     cached = frozenset(report.prefixes)
-    known = [
+    matches = [
         number
         for number, name in enumerate(request.prefixes, start=1)
         if name in cached
     ]
-    return max(known, default=0)
+    return max(matches, default=0)
+
 
+def serves(link: SidecarLink, pool_config: Pool) -> bool:
+    """Return whether the endpoint reports the pool's model and adapter.
 
-def serves(link: SidecarLink, wanted: Pool) -> bool:
-    """Tell whether an endpoint reports the model that a pool needs."""
+    An endpoint that reports no model matches any model. For a pool of plain
+    services any report is enough.
+    """
     report = link.report
-    if report is None or wanted.kind == 'service':
+    if report is None or pool_config.kind == 'service':
         return report is not None
-    if wanted.adapter and report.adapter != wanted.adapter:
+    if pool_config.adapter and report.adapter != pool_config.adapter:
         return False
-    return not wanted.model or report.model in {'', wanted.model}
+    return not pool_config.model or report.model in {'', pool_config.model}
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -1,4 +1,4 @@
-"""Tests of the retry budget, backoff, token bucket and limits."""
+"""Tests of the retry budget, backoff, token bucket and rate limits."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from quetzaldyke.parts.retry_budget import RetryBudget
 from quetzaldyke.parts.tokens import TokenBucket
 from quetzaldyke.request.limits import (
-    ADVICE_LIFE_S,
+    ADVICE_TTL_S,
     Coordinator,
     Limits,
     shares_by_demand,
@@ -24,18 +24,18 @@
 
 @dataclass
 class ManualTime:
-    """Time that a test moves."""
+    """Clock that a test advances."""
 
     now_s: float = 0.0
 
     def read(self) -> float:
-        """Return the time."""
+        """Return the current time."""
         return self.now_s
 
 
 steps = st.lists(
     st.tuples(
-        st.floats(0, 3),  # seconds that pass
+        st.floats(0, 3),  # elapsed seconds
         st.integers(0, 30),  # requests
         st.integers(0, 30),  # wanted retries
     ),
@@ -120,18 +120,18 @@
     )
 
 
-def admitted(limits: Limits, wanted: int) -> int:
-    """Return how many of the wanted requests run at once."""
+def count_admitted(limits: Limits, wanted: int) -> int:
+    """Return how many of the wanted requests are admitted."""
     return sum(limits.admit('barf').is_ok() for _ in range(wanted))
 
 
 def test_even_share_without_advice() -> None:
     """Guards against an entry that uses the whole limit of the fleet."""
-    assert admitted(make_limits(ManualTime()), 10) == 2
+    assert count_admitted(make_limits(ManualTime()), 10) == 2
 
 
-def test_released_places_are_used_again_up_to_the_rate() -> None:
-    """Guards against places that leak, and against a rate not enforced."""
+def test_released_slots_are_reused_up_to_the_rate() -> None:
+    """Guards against slots that leak and a rate that is not enforced."""
     limits = make_limits(ManualTime())
     done = 0
     for _ in range(20):
@@ -143,18 +143,18 @@
 
 @pytest.mark.parametrize(
     ('later_s', 'expected'),
-    [(0.0, 3), (ADVICE_LIFE_S, 2)],
+    [(0.0, 3), (ADVICE_TTL_S, 2)],
 )
-def test_advice_holds_until_it_lapses(later_s: float, expected: int) -> None:
+def test_advice_applies_until_it_expires(later_s: float, expected: int) -> None:
     """Guards against shares of a coordinator that is gone."""
     time = ManualTime()
     limits = make_limits(time)
-    limits.adopt({'barf': 0.75})
+    limits.apply_advice({'barf': 0.75})
     time.now_s = later_s
-    assert admitted(limits, 10) == expected
+    assert count_admitted(limits, 10) == expected
 
 
-def test_refusal_says_when_to_come_back() -> None:
+def test_rate_refusal_has_retry_after() -> None:
     """Guards against a rate refusal without a usable `Retry-After`."""
     limits = make_limits(ManualTime())
     refusals = []
@@ -176,20 +176,20 @@
     ),
 )
 def test_shares_add_up_to_the_limit(demand: dict[str, int]) -> None:
-    """Guards against advice that hands out more than the limit."""
+    """Guards against shares that exceed the limit in total."""
     shares = shares_by_demand(demand)
     assert sum(shares.values()) == pytest.approx(1)
     assert min(shares.values()) > 0
 
 
-def test_coordinator_follows_demand_and_forgets_dead_entries() -> None:
+def test_coordinator_follows_demand_and_drops_dead_entries() -> None:
     """Guards against shares that stay with an entry that is gone."""
     time = ManualTime()
     coordinator = Coordinator(time.read)
-    coordinator.note('entry-1', {'barf': 90})
-    coordinator.note('entry-2', {'barf': 10})
-    advice = coordinator.advise(['entry-1', 'entry-2'])
+    coordinator.record_demand('entry-1', {'barf': 90})
+    coordinator.record_demand('entry-2', {'barf': 10})
+    advice = coordinator.compute_shares(['entry-1', 'entry-2'])
     assert advice['entry-1']['barf'] > 0.8
-    assert coordinator.advise(['entry-2']) == {'entry-2': {'barf': 1.0}}
+    assert coordinator.compute_shares(['entry-2']) == {'entry-2': {'barf': 1.0}}
     time.now_s = 60
-    assert coordinator.advise(['entry-2']) == {'entry-2': {}}
+    assert coordinator.compute_shares(['entry-2']) == {'entry-2': {}}
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -1,4 +1,4 @@
-"""Tests of the routing state and of the decisions after a failure."""
+"""Tests of the router, early refusals and retry decisions."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
     refuse_early,
 )
 from quetzaldyke.request.model import OnlineRequest
-from quetzaldyke.request.prefixes import prefix_names
+from quetzaldyke.request.prefixes import prefix_hashes
 from quetzaldyke.request.retry import (
     Progress,
-    combine,
+    combine_ran,
     may_retry,
     unsent_text,
 )
@@ -42,8 +42,8 @@
 OWN = Instance('entry-1', 'entry', 'a', '127.0.0.1:1')
 
 
-class Holder:
-    """A configuration that does not change."""
+class FixedConfiguration:
+    """Configuration holder whose configuration does not change."""
 
     def __init__(self, current: Configuration) -> None:
         self.current = current
@@ -91,15 +91,15 @@
     return OnlineRequest(**{**fields, **more})
 
 
-class Bench:
-    """A router over links that are not connected to anything."""
+class RouterRig:
+    """Router with links that have no connection."""
 
     def __init__(self, config: Configuration | None = None) -> None:
         self.now_s = 0.0
         self.fleet = Fleet(OWN, 20)
         self.router = Router(
             self.fleet,
-            Holder(config or configuration()),
+            FixedConfiguration(config or configuration()),
             Clock(lambda: self.now_s),
             Random(5),
         )
@@ -116,8 +116,10 @@
         self.fleet.links[name] = link
         return link
 
-    def picked(self, request: OnlineRequest | None = None) -> set[str]:
-        """Return the endpoints that 60 choices lead to."""
+    def picked_endpoints(
+        self, request: OnlineRequest | None = None
+    ) -> set[str]:
+        """Return the endpoints picked in 60 calls."""
         names = set()
         for _ in range(60):
             pick = self.router.pick(request or make_request(), ())
@@ -125,17 +127,17 @@
         return names
 
 
-def test_ejected_endpoint_rests_and_comes_back() -> None:
-    """Guards against new requests for an endpoint that just broke."""
-    bench = Bench()
-    bench.add('good')
-    bench.add('bad')
-    bench.router.eject('bad')
-    assert bench.picked() == {'good'}
-    bench.router.eject('good')
-    assert bench.picked() == {'good', 'bad'}
-    bench.now_s = 1.5
-    assert bench.picked() == {'good', 'bad'}
+def test_ejected_endpoint_is_used_only_when_none_is_left() -> None:
+    """Guards against new requests to an endpoint that just failed."""
+    rig = RouterRig()
+    rig.add('good')
+    rig.add('bad')
+    rig.router.eject('bad')
+    assert rig.picked_endpoints() == {'good'}
+    rig.router.eject('good')
+    assert rig.picked_endpoints() == {'good', 'bad'}
+    rig.now_s = 1.5
+    assert rig.picked_endpoints() == {'good', 'bad'}
 
 
 @pytest.mark.parametrize(
@@ -148,45 +150,45 @@
     ids=str,
 )
 def test_unusable_endpoint_is_never_chosen(more: dict[str, Any]) -> None:
-    """Guards against work for an endpoint that can't or must not run it."""
-    bench = Bench()
-    bench.add('only', **more)
-    assert bench.picked() == {''}
+    """Guards against requests to an endpoint that cannot run them."""
+    rig = RouterRig()
+    rig.add('only', **more)
+    assert rig.picked_endpoints() == {''}
 
 
 def test_load_counts_what_was_sent_since_the_report() -> None:
-    """Guards against herding to the endpoint whose last report was idle."""
-    bench = Bench()
-    link = bench.add('one', online_running=3, online_queued=1)
-    bench.router.at_report['one'] = 2
+    """Guards against overload of the endpoint that last reported idle."""
+    rig = RouterRig()
+    link = rig.add('one', online_running=3, online_queued=1)
+    rig.router.running_at_report['one'] = 2
     link.running_online = 5
-    assert bench.router.load_of(link) == 7
+    assert rig.router.load_of(link) == 7
     link.running_online = 0
-    assert bench.router.load_of(link) == 2
+    assert rig.router.load_of(link) == 2
 
 
 def test_longest_cached_prefix_wins() -> None:
-    """Guards against a hint that ignores how much is cached."""
-    names = prefix_names('word ' * 64)
-    bench = Bench()
-    bench.add('cold')
-    bench.add('short', prefixes=[names[0]])
-    bench.add('long', prefixes=[names[0], names[2]])
-    assert bench.picked(make_request(prefixes=names)) == {'long'}
+    """Guards against prefix affinity that ignores the cached length."""
+    names = prefix_hashes('word ' * 64)
+    rig = RouterRig()
+    rig.add('cold')
+    rig.add('short', prefixes=[names[0]])
+    rig.add('long', prefixes=[names[0], names[2]])
+    assert rig.picked_endpoints(make_request(prefixes=names)) == {'long'}
 
 
 @given(words=st.integers(0, 100))
-def test_prefixes_are_named_as_the_engine_names_them(words: int) -> None:
-    """Guards against names that never match the engine's."""
+def test_prefix_hashes_match_those_of_the_engine(words: int) -> None:
+    """Guards against hashes that never match the engine's."""
     prompt = ' '.join(f'w{number}' for number in range(words))
-    assert list(prefix_names(prompt)) == engine_text.prefix_names(prompt)
+    assert list(prefix_hashes(prompt)) == engine_text.prefix_names(prompt)
 
 
 @pytest.mark.parametrize(
     ('share', 'lender_load', 'borrowed', 'expected'),
     [
         (1.0, 0, 0, 'lender'),
-        (1.0, 4, 0, 'own'),  # the lender is busy itself
+        (1.0, 4, 0, 'own'),  # the lender has no free slot
         (0.5, 0, 2, 'own'),  # the rule's share is used up
         (0.5, 0, 1, 'lender'),
     ],
@@ -205,21 +207,21 @@
         max_share=share,
     )
     pools = {'orders': Pool(model='model'), 'spare': Pool(model='model')}
-    bench = Bench(configuration(pools=pools, lending=(rule,)))
-    bench.add('own', online_running=4)
-    bench.add('lender', 'spare', online_running=lender_load)
-    bench.router.borrowed['orders', 'spare'] = borrowed
-    assert bench.picked() == {expected}
+    rig = RouterRig(configuration(pools=pools, lending=(rule,)))
+    rig.add('own', online_running=4)
+    rig.add('lender', 'spare', online_running=lender_load)
+    rig.router.borrowed['orders', 'spare'] = borrowed
+    assert rig.picked_endpoints() == {expected}
 
 
 def test_idle_pool_borrows_nothing() -> None:
-    """Guards against borrowing while the own pool has room."""
+    """Guards against borrowing while the own pool has free slots."""
     rule = LendingRule(borrower='orders', lender='spare', work='online')
     pools = {'orders': Pool(model='model'), 'spare': Pool(model='model')}
-    bench = Bench(configuration(pools=pools, lending=(rule,)))
-    bench.add('own', online_running=3)
-    bench.add('lender', 'spare')
-    assert bench.picked() == {'own'}
+    rig = RouterRig(configuration(pools=pools, lending=(rule,)))
+    rig.add('own', online_running=3)
+    rig.add('lender', 'spare')
+    assert rig.picked_endpoints() == {'own'}
 
 
 def test_next_attempt_continues_after_the_text_so_far() -> None:
@@ -247,22 +249,22 @@
         (0, 0.0, 'deadline_exceeded'),
     ],
 )
-def test_hopeless_requests_are_shed_early(
+def test_requests_that_cannot_start_in_time_are_refused(
     load: int,
     remaining_s: float,
     code: str | None,
 ) -> None:
-    """Guards against waiting past the deadline, and needless refusals."""
-    bench = Bench()
-    link = bench.add('one')
+    """Guards against queueing past the deadline and needless refusals."""
+    rig = RouterRig()
+    link = rig.add('one')
     context = ExecuteContext(
-        bench.router,
-        bench.router.clock,
+        rig.router,
+        rig.router.clock,
         DeadlineQueue(),
         cast(Any, None),
         Metrics(),
         SuspectBook(),
-        service_s={'orders': 6.0},
+        mean_service_s={'orders': 6.0},
     )
     request = make_request(deadline_s=remaining_s)
     refusal = refuse_early(context, request, Pick(link, load, 4))
@@ -270,26 +272,26 @@
     assert refusal is None or refusal.ran == 'not_run'
 
 
-rans = st.sampled_from(['not_run', 'unknown', 'ran'])
+ran_values = st.sampled_from(['not_run', 'unknown', 'ran'])
 
 
-@given(first=rans, second=rans, idempotent=st.booleans())
+@given(first=ran_values, second=ran_values, idempotent=st.booleans())
 def test_retries_never_risk_a_second_run(
     first: Any,
     second: Any,
     idempotent: bool,
 ) -> None:
-    """Guards against a retry of what may have run, and false statements."""
+    """Guards against a second run and a wrong `ran` value."""
     request = make_request(idempotent=idempotent)
     progress = Progress()
     for ran in (first, second):
         failed = Failed('r1', ran, 'broken')
-        progress.note_failure('e1', failed)
+        progress.record_failure('e1', failed)
         allowed = may_retry(request, progress, failed)
         assert allowed is (idempotent or ran == 'not_run')
     both = {first, second}
-    assert (combine(first, second) == 'not_run') is (both == {'not_run'})
-    assert progress.ran == combine(first, second)
+    assert (combine_ran(first, second) == 'not_run') is (both == {'not_run'})
+    assert progress.ran == combine_ran(first, second)
 
 
 @given(
@@ -302,7 +304,7 @@
     waiting: str,
     earlier: str,
 ) -> None:
-    """Guards against text that is generated or given out twice."""
+    """Guards against text that is lost, generated or sent twice."""
     progress = Progress()
     progress.begin_attempt()
     progress.add_text(earlier, 1)
@@ -317,7 +319,7 @@
 
 
 def test_text_that_does_not_continue_is_not_used() -> None:
-    """Guards against an answer put together from different texts."""
+    """Guards against an answer assembled from two different texts."""
     progress = Progress()
     progress.begin_attempt()
     progress.add_text('one', 1)
