--- a/src/quetzaldyke/durable/cancel.py
+++ b/src/quetzaldyke/durable/cancel.py
@@ -27,7 +27,7 @@
 StopEverywhere = Callable[[JobRecord], Awaitable[bool]]
 
 
-async def drive_cancel(
+async def advance_cancel(
     store: KeyValueStore,
     job: JobRecord,
     stop_everywhere: StopEverywhere,
--- a/src/quetzaldyke/durable/files.py
+++ b/src/quetzaldyke/durable/files.py
@@ -171,11 +171,11 @@
         if not batch:
             return Ok(written)
         for packed, count in batch:
-            digest = inputs.segment_name(upload, len(written), packed)
-            put = await put_once(store, keys.input_key(digest), packed)
+            name = inputs.segment_name(upload, len(written), packed)
+            put = await put_once(store, keys.input_key(name), packed)
             if isinstance(put, Err):
                 return put
-            written.append(SegmentInput(digest, count))
+            written.append(SegmentInput(name, count))
 
 
 async def pin_file(
@@ -204,4 +204,4 @@
 ) -> AsyncIterator[Result[list[Item], KvError]]:
     """Yield the items of a file, one segment at a time."""
     for segment in record.segments:
-        yield await read_segment(store, segment.digest)
+        yield await read_segment(store, segment.name)
--- a/src/quetzaldyke/durable/inputs.py
+++ b/src/quetzaldyke/durable/inputs.py
@@ -198,12 +198,12 @@
 
 async def read_segment(
     store: KeyValueStore,
-    digest: str,
+    name: str,
 ) -> Result[list[Item], KvError]:
     """Return the items of a segment."""
-    found = await store.get(keys.input_key(digest))
+    found = await store.get(keys.input_key(name))
     if isinstance(found, Err):
         return found
     if found.ok_value is None:
-        return Err(KvError('conflict', f'input segment {digest} is missing'))
+        return Err(KvError('conflict', f'input segment {name} is missing'))
     return Ok(unpack_segment(found.ok_value.value))
--- a/src/quetzaldyke/durable/keys.py
+++ b/src/quetzaldyke/durable/keys.py
@@ -9,7 +9,7 @@
 import hashlib
 from typing import Final
 
-ACTIVE_LISTS: Final = 16
+ACTIVE_LIST_COUNT: Final = 16
 ID_CHARS: Final = 32
 DIGEST_BYTES: Final = 16
 FILES_PREFIX: Final = 'files/'
@@ -62,9 +62,9 @@
     return f'{FILES_PREFIX}{organisation}/{file_id}'
 
 
-def input_key(digest: str) -> str:
+def input_key(name: str) -> str:
     """Return the key of one input segment."""
-    return f'inputs/{digest}'
+    return f'inputs/{name}'
 
 
 def job_key(organisation: str, job_id: str) -> str:
@@ -80,11 +80,11 @@
 def active_list_of(job_id: str) -> int:
     """Return the number of the active list that holds a job.
 
-    >>> 0 <= active_list_of('batch_1') < ACTIVE_LISTS
+    >>> 0 <= active_list_of('batch_1') < ACTIVE_LIST_COUNT
     True
     """
     raw = hashlib.sha256(job_id.encode()).digest()
-    return raw[0] % ACTIVE_LISTS
+    return raw[0] % ACTIVE_LIST_COUNT
 
 
 def active_key(number: int) -> str:
--- a/src/quetzaldyke/durable/order.py
+++ b/src/quetzaldyke/durable/order.py
@@ -65,13 +65,13 @@
 ItemT = TypeVar('ItemT')
 
 
-def deal_in_turns(
+def round_robin(
     queues: Sequence[Sequence[ItemT]],
     limit: int,
 ) -> list[ItemT]:
     """Return up to `limit` items of the queues in turns, first queue first.
 
-    >>> deal_in_turns([['a1', 'a2', 'a3'], ['b1']], 3)
+    >>> round_robin([['a1', 'a2', 'a3'], ['b1']], 3)
     ['a1', 'b1', 'a2']
     """
     longest = max((len(queue) for queue in queues), default=0)
@@ -84,7 +84,7 @@
     return turns[:limit]
 
 
-def deal_fairly(
+def round_robin_by_organisation(
     queues: Sequence[tuple[str, Sequence[ItemT]]],
     limit: int,
 ) -> list[ItemT]:
@@ -93,14 +93,15 @@
     Each queue is a job's with its organisation, the most urgent first; the
     jobs of one organisation take turns within its share.
 
-    >>> deal_fairly([('x', ['a1', 'a2']), ('x', ['b1']), ('y', ['c1'])], 3)
+    >>> queues = [('x', ['a1', 'a2']), ('x', ['b1']), ('y', ['c1'])]
+    >>> round_robin_by_organisation(queues, 3)
     ['a1', 'c1', 'b1']
     """
     by_organisation: dict[str, list[Sequence[ItemT]]] = {}
     for organisation, queue in queues:
         by_organisation.setdefault(organisation, []).append(queue)
     dealt = [
-        deal_in_turns(own, sum(len(queue) for queue in own))
+        round_robin(own, sum(len(queue) for queue in own))
         for own in by_organisation.values()
     ]
-    return deal_in_turns(dealt, limit)
+    return round_robin(dealt, limit)
--- a/src/quetzaldyke/durable/output.py
+++ b/src/quetzaldyke/durable/output.py
@@ -64,7 +64,7 @@
         chosen = [one for one in found if one.failed == failed]
         if not chosen:
             continue
-        items = await inputs.read_segment(store, segment.digest)
+        items = await inputs.read_segment(store, segment.name)
         if isinstance(items, Err):
             raise fault(items.err_value)
         prefix = f'{job.job_id}-{number}'
--- a/src/quetzaldyke/durable/progress.py
+++ b/src/quetzaldyke/durable/progress.py
@@ -126,7 +126,7 @@
     """Give up a segment, so that another entry claims it at once."""
 
     def edit(known: Progress | None) -> Progress | Refused[str]:
-        if known is None or not holds(known, owned):
+        if known is None or not is_still_owned(known, owned):
             return LOST
         return replace(known, owner='')
 
@@ -168,7 +168,7 @@
     return Ok(record)
 
 
-def holds(known: Progress, owned: Progress) -> bool:
+def is_still_owned(known: Progress, owned: Progress) -> bool:
     """Tell whether a record still belongs to the owner's epoch."""
     same = (known.epoch, known.owner) == (owned.epoch, owned.owner)
     return same and known.state == 'open'
@@ -199,7 +199,7 @@
     planned = plan_commit(base, fresh, tail, packs, tries)
 
     def edit(known: Progress | None) -> Progress | Refused[str]:
-        if known is None or not holds(known, base):
+        if known is None or not is_still_owned(known, base):
             return LOST
         return planned if known.sequence == base.sequence else STALE
 
--- a/src/quetzaldyke/durable/records.py
+++ b/src/quetzaldyke/durable/records.py
@@ -31,7 +31,7 @@
 class SegmentInput:
     """Input of one segment: where it is and how many items it has."""
 
-    digest: str
+    name: str
     items: int
 
 
@@ -194,7 +194,7 @@
     """Return the record of an array.
 
     >>> from_row(SegmentInput, to_row(SegmentInput('d', 3)))
-    SegmentInput(digest='d', items=3)
+    SegmentInput(name='d', items=3)
     """
     named = dict(zip(names_of(record_type), row, strict=False))
     for name, item_type in LISTED.items():
--- a/src/quetzaldyke/durable/service.py
+++ b/src/quetzaldyke/durable/service.py
@@ -14,7 +14,7 @@
 from result import Err, Ok, Result
 
 from quetzaldyke.durable import active, errors, files, jobs, keys, output
-from quetzaldyke.durable.cancel import StopEverywhere, drive_cancel
+from quetzaldyke.durable.cancel import StopEverywhere, advance_cancel
 from quetzaldyke.durable.deadlines import resolve_deadline
 from quetzaldyke.durable.errors import JobError
 from quetzaldyke.durable.jobs import NewJob
@@ -189,7 +189,7 @@
         if limits is None:
             return Ok(None)
         queued = sum(segment.items for segment in new.file.segments)
-        for number in range(keys.ACTIVE_LISTS):
+        for number in range(keys.ACTIVE_LIST_COUNT):
             listed = await active.read_active(self.store, number)
             if isinstance(listed, Err):
                 return Err(errors.store_error(listed.err_value))
@@ -271,7 +271,7 @@
         if job.state == 'expired':
             return Err(errors.expired('job'))
         if job.state == 'cancelling':
-            driven = await drive_cancel(
+            driven = await advance_cancel(
                 self.store,
                 job,
                 self.stop_everywhere,
--- a/src/quetzaldyke/process/batch_claims.py
+++ b/src/quetzaldyke/process/batch_claims.py
@@ -69,7 +69,7 @@
         if job is None or job.state != 'in_progress':
             return Err('not_ready')
         segment = job.segments[offer.segment]
-        items = await inputs.read_segment(self.store, segment.digest)
+        items = await inputs.read_segment(self.store, segment.name)
         if isinstance(items, Err):
             return Err('not_ready')
         claimed = await progress.claim(
--- a/src/quetzaldyke/process/batch_commit.py
+++ b/src/quetzaldyke/process/batch_commit.py
@@ -82,7 +82,7 @@
             return 'lost'
         if known.state == 'done' and known.owner == segment.progress.owner:
             return 'done' if known.epoch == segment.progress.epoch else 'lost'
-        if not progress.holds(known, segment.progress):
+        if not progress.is_still_owned(known, segment.progress):
             return 'lost'
         segment.settle(known, self.now_s())
         segment.confirmed = True
--- a/src/quetzaldyke/process/batch_coordinator.py
+++ b/src/quetzaldyke/process/batch_coordinator.py
@@ -25,7 +25,7 @@
 from quetzaldyke.durable import active, cancel, jobs, keys, progress
 from quetzaldyke.durable.order import (
     MS_IN_S,
-    deal_fairly,
+    round_robin_by_organisation,
     slack_s,
 )
 from quetzaldyke.durable.records import FINAL_STATES, ActiveJob, JobRecord
@@ -125,7 +125,7 @@
         """Work through the lists for which this entry ranks first."""
         self.rounds += 1
         members = self.reachable()
-        for number in range(keys.ACTIVE_LISTS):
+        for number in range(keys.ACTIVE_LIST_COUNT):
             if first_for(members, keys.active_key(number)) == self.worker.own:
                 await self.coordinate(number)
 
@@ -222,7 +222,7 @@
     async def resume_cancel(self, view: JobView) -> None:
         """Drive a cancel on, whoever began it."""
         try:
-            driven = await cancel.drive_cancel(
+            driven = await cancel.advance_cancel(
                 self.worker.store,
                 view.job,
                 self.stop_everywhere,
@@ -317,7 +317,7 @@
             room = view.room(members, cover, at_risk)
             offers = offers_of(view, slacks, ownerless)[:room]
             queues.append((view.job.organisation, offers))
-        return deal_fairly(queues, limit)
+        return round_robin_by_organisation(queues, limit)
 
     def refreshes(
         self,
--- a/tests/batch_bed.py
+++ b/tests/batch_bed.py
@@ -22,7 +22,7 @@
 import pytest
 from anyio import to_thread
 
-from batch_store import Client, Shared
+from batch_store import StoreClient, SharedStore
 from quetzaldyke.connection import messages as m
 from quetzaldyke.connection.codec import from_row, to_row
 from quetzaldyke.durable import keys
@@ -236,7 +236,7 @@
 
     name: str
     bed: Bed
-    client: Client
+    client: StoreClient
     fleet: fleet.Fleet
     timers: TimerService
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
@@ -285,7 +285,7 @@
 
     seed: int = 0
     rng: random.Random = field(init=False)
-    shared: Shared = field(default_factory=Shared)
+    shared: SharedStore = field(default_factory=SharedStore)
     entries: dict[str, Entry] = field(default_factory=dict)
     sidecars: dict[str, Sidecar] = field(default_factory=dict)
     starts: list[tuple[str, float]] = field(default_factory=list)
@@ -336,7 +336,7 @@
         entry = Entry(
             name,
             self,
-            Client(self.shared, rng),
+            StoreClient(self.shared, rng),
             fleet.Fleet(own, 100),
             TimerService(Clock(read=anyio.current_time)),
         )
--- a/tests/batch_store.py
+++ b/tests/batch_store.py
@@ -16,7 +16,7 @@
 
 
 @dataclass
-class Shared:
+class SharedStore:
     """The one copy of the data that all clients see."""
 
     records: dict[str, Record] = field(default_factory=dict)
@@ -40,13 +40,13 @@
 
 
 @dataclass
-class Client:
+class StoreClient:
     """Connection of one entry to the store, with its own faults.
 
     Batch work uses neither leases nor watches.
     """
 
-    shared: Shared
+    shared: SharedStore
     rng: random.Random = field(default_factory=lambda: random.Random(0))
     down: bool = False
     fault_rate: float = 0.0
--- a/tests/test_batch_durable.py
+++ b/tests/test_batch_durable.py
@@ -22,7 +22,7 @@
 from result import Err
 
 from batch_bed import CONFIG, ENDPOINT, jsonl
-from batch_store import Client, Shared
+from batch_store import StoreClient, SharedStore
 from quetzaldyke.durable import keys, progress, retention
 from quetzaldyke.durable.active import read_active
 from quetzaldyke.durable.deadlines import resolve_deadline
@@ -47,7 +47,7 @@
         kv.RETRY_PAUSE_S = previous  # type: ignore[misc]
 
 
-class QuickClient(Client):
+class QuickClient(StoreClient):
     """Client without a network delay."""
 
     async def enter(self) -> kv.KvError | None:
@@ -55,12 +55,12 @@
         return kv.KvError('unavailable') if self.down else None
 
 
-def quick(shared: Shared) -> Any:
+def quick(shared: SharedStore) -> Any:
     """Return a client; batch work needs only a part of the protocol."""
     return QuickClient(shared)
 
 
-def make_service(shared: Shared, now_ms: list[int]) -> Any:
+def make_service(shared: SharedStore, now_ms: list[int]) -> Any:
     """Return the service of one entry."""
     return JobService(
         quick(shared),
@@ -79,7 +79,7 @@
     @initialize()
     def start(self) -> None:
         """Upload two files."""
-        self.shared = Shared()
+        self.shared = SharedStore()
         now_ms = [1_000_000]
         self.services = [make_service(self.shared, now_ms) for _ in range(2)]
         self.files = [self.upload(['a']), self.upload(['b'])]
@@ -184,7 +184,7 @@
     @initialize()
     def start(self) -> None:
         """Begin with two owners and no record."""
-        self.shared = Shared()
+        self.shared = SharedStore()
         self.clients = [quick(self.shared) for _ in range(2)]
         self.owned: dict[int, Progress] = {}
         self.recorded: dict[int, ItemResult] = {}
@@ -358,7 +358,7 @@
     ran: str,
 ) -> None:
     """Guards against `not_run` for a job that may have been accepted."""
-    shared = Shared()
+    shared = SharedStore()
     service = make_service(shared, [0])
 
     async def step() -> Any:
@@ -375,7 +375,7 @@
 
 def test_results_expire_and_the_contents_can_run_again() -> None:
     """Guards against records kept for ever and a job lost by its expiry."""
-    shared = Shared()
+    shared = SharedStore()
     now_ms = [10_000_000]
     service = make_service(shared, now_ms)
 
