--- a/src/quetzaldyke/durable/__init__.py
+++ b/src/quetzaldyke/durable/__init__.py
@@ -1,1 +1,1 @@
-"""Records that outlive every process, kept in the key-value service."""
+"""Batch jobs and files, stored durably in the key-value service."""
--- a/src/quetzaldyke/durable/active.py
+++ b/src/quetzaldyke/durable/active.py
@@ -1,7 +1,8 @@
-"""Lists of active jobs, and the figures that the status of a job shows.
+"""Stores the lists of active jobs, with the progress figures of each job.
 
-The figures of all jobs of a list are written together, so that a status
-costs two reads and the figures cost one write for each list, not each job.
+The figures of all jobs of a list are written together, so that reading the
+status of a job takes two reads and updating the figures takes one write per
+list instead of one per job.
 """
 
 from __future__ import annotations
@@ -15,24 +16,24 @@
 from quetzaldyke.durable.records import ActiveJob, pack_list, unpack_list
 from quetzaldyke.parts.kv import KeyValueStore, KvError, Refused, read, swap
 
-Edit = Callable[[list[ActiveJob]], list[ActiveJob] | None]
+ActiveListEdit = Callable[[list[ActiveJob]], list[ActiveJob] | None]
 
 
 async def read_active(
     store: KeyValueStore,
     number: int,
 ) -> Result[list[ActiveJob], KvError]:
-    """Return the jobs of one active list."""
+    """Return the rows of one active list; empty when it is absent."""
     stored = await read(store, keys.active_key(number))
-    return stored.map(lambda one: unpack_list(ActiveJob, one.payload))
+    return stored.map(lambda value: unpack_list(ActiveJob, value.payload))
 
 
-async def edit_active(
+async def change_active_list(
     store: KeyValueStore,
     number: int,
-    edit: Edit,
+    edit: ActiveListEdit,
 ) -> Result[None, KvError]:
-    """Change a list; an edit that returns None leaves it as it is."""
+    """Replace the rows of a list; no write when `edit` returns None."""
 
     def change(payload: bytes) -> bytes | Refused[str]:
         edited = edit(unpack_list(ActiveJob, payload))
@@ -48,27 +49,29 @@
     store: KeyValueStore,
     job: ActiveJob,
 ) -> Result[None, KvError]:
-    """Add a job to its list, once."""
+    """Add a job to its list unless it is listed already."""
 
-    def edit(jobs: list[ActiveJob]) -> list[ActiveJob] | None:
-        if any(one.job_id == job.job_id for one in jobs):
+    def edit(rows: list[ActiveJob]) -> list[ActiveJob] | None:
+        if any(row.job_id == job.job_id for row in rows):
             return None
-        return [*jobs, job]
+        return [*rows, job]
 
-    return await edit_active(store, keys.active_list_of(job.job_id), edit)
+    return await change_active_list(
+        store, keys.active_list_of(job.job_id), edit
+    )
 
 
 async def remove_active(
     store: KeyValueStore,
     job_id: str,
 ) -> Result[None, KvError]:
-    """Remove a job from its list."""
+    """Remove a job from its list, if it is listed."""
 
-    def edit(jobs: list[ActiveJob]) -> list[ActiveJob] | None:
-        kept = [one for one in jobs if one.job_id != job_id]
-        return None if len(kept) == len(jobs) else kept
+    def edit(rows: list[ActiveJob]) -> list[ActiveJob] | None:
+        kept = [row for row in rows if row.job_id != job_id]
+        return None if len(kept) == len(rows) else kept
 
-    return await edit_active(store, keys.active_list_of(job_id), edit)
+    return await change_active_list(store, keys.active_list_of(job_id), edit)
 
 
 async def write_figures(
@@ -76,17 +79,17 @@
     number: int,
     figures: dict[str, ActiveJob],
 ) -> Result[None, KvError]:
-    """Write the latest figures of the jobs that are still listed."""
+    """Write the progress figures of those jobs that are still listed."""
 
-    def edit(jobs: list[ActiveJob]) -> list[ActiveJob] | None:
-        edited = [with_figures(one, figures.get(one.job_id)) for one in jobs]
-        return None if edited == jobs else edited
+    def edit(rows: list[ActiveJob]) -> list[ActiveJob] | None:
+        edited = [with_figures(row, figures.get(row.job_id)) for row in rows]
+        return None if edited == rows else edited
 
-    return await edit_active(store, number, edit)
+    return await change_active_list(store, number, edit)
 
 
 def with_figures(job: ActiveJob, latest: ActiveJob | None) -> ActiveJob:
-    """Return a list row with newer figures."""
+    """Return a row with the latest figures; unchanged when there are none."""
     if latest is None:
         return job
     return replace(
--- a/src/quetzaldyke/durable/cancel.py
+++ b/src/quetzaldyke/durable/cancel.py
@@ -1,7 +1,8 @@
-"""Cancellation of a job, in steps that any entry can repeat.
+"""Moves jobs to their final states, by idempotent steps.
 
-The job becomes `cancelled` only after its progress records are closed and
-every live process that could start or run an item has said that it stopped.
+A job becomes `cancelled` only after its progress records are closed and
+every live process that could start or run an item has confirmed that it
+stopped. Any entry can continue a cancel.
 """
 
 from __future__ import annotations
@@ -19,11 +20,11 @@
 from quetzaldyke.durable.records import JobRecord, Progress
 from quetzaldyke.parts.kv import KeyValueStore, KvError, Refused
 
-# Progress records closed at once; more would take a noticeable part of the
-# service's several hundred writes a second.
-CLOSED_AT_ONCE: Final = 8
+# More concurrent closes would take a noticeable part of the several hundred
+# writes per second that the key-value service sustains.
+MAX_CONCURRENT_CLOSES: Final = 8
 
-# Tells whether every live process has stopped the job.
+# Asks every live process to stop a job; True when all have confirmed.
 StopEverywhere = Callable[[JobRecord], Awaitable[bool]]
 
 
@@ -33,27 +34,31 @@
     stop_everywhere: StopEverywhere,
     now_ms: Callable[[], int],
 ) -> Result[JobRecord, KvError]:
-    """Take a `cancelling` job as far as it goes now."""
+    """Continue the cancel of a `cancelling` job.
+
+    Returns the job unchanged while a process has not confirmed yet, or when
+    another entry has changed its state. Can be called again at any time.
+    """
     closed = await close_segments(store, job)
     if isinstance(closed, Err):
         return closed
     if not await stop_everywhere(job):
         return Ok(job)
-    finished_items = sum(one.finished_count for one in closed.ok_value)
-    failed_items = sum(one.failed for one in closed.ok_value)
+    finished_items = sum(segment.finished_count for segment in closed.ok_value)
+    failed_items = sum(segment.failed for segment in closed.ok_value)
     final = with_counts(job, finished_items, failed_items)
     final = replace(final, state='cancelled', finished_ms=now_ms())
     finished = await finish_job(store, job, final)
     if isinstance(finished, Err):
         error = finished.err_value
         return Ok(job) if isinstance(error, Refused) else Err(error)
-    # When this write fails, the coordinator of the list removes the job.
+    # If this fails, the coordinator of the list removes the job later.
     await remove_active(store, job.job_id)
     return Ok(finished.ok_value)
 
 
 def with_counts(job: JobRecord, finished: int, failed: int) -> JobRecord:
-    """Return a job with its final counts."""
+    """Return a job with the final counts of completed and failed items."""
     return replace(job, completed=finished - failed, failed=failed)
 
 
@@ -61,8 +66,8 @@
     store: KeyValueStore,
     job: JobRecord,
 ) -> Result[list[Progress], KvError]:
-    """Close every unfinished segment; return all progress records."""
-    limiter = anyio.CapacityLimiter(CLOSED_AT_ONCE)
+    """Close all open segments; return the progress of every segment."""
+    limiter = anyio.CapacityLimiter(MAX_CONCURRENT_CLOSES)
     outcomes: list[Result[Progress, KvError]] = []
 
     async def close(segment: int, total: int) -> None:
@@ -72,10 +77,12 @@
     async with anyio.create_task_group() as group:
         for number, segment in enumerate(job.segments):
             group.start_soon(close, number, segment.items)
-    failures = [one for one in outcomes if isinstance(one, Err)]
+    failures = [outcome for outcome in outcomes if isinstance(outcome, Err)]
     if failures:
         return failures[0]
-    return Ok([one.ok_value for one in outcomes if isinstance(one, Ok)])
+    return Ok(
+        [outcome.ok_value for outcome in outcomes if isinstance(outcome, Ok)]
+    )
 
 
 async def close_segment(
@@ -84,7 +91,7 @@
     segment: int,
     total: int,
 ) -> Result[Progress, KvError]:
-    """Close one segment; a segment that is not open stays as it is."""
+    """Close one segment if it is open, and return its progress."""
     closed = await progress.close_cancelled(store, job.job_id, segment, total)
     if isinstance(closed, Ok):
         return closed
@@ -94,7 +101,7 @@
     if isinstance(found, Err):
         return found
     if found.ok_value is None:
-        return Err(KvError('conflict', 'the progress record is gone'))
+        return Err(KvError('conflict', 'the progress record is missing'))
     return Ok(found.ok_value)
 
 
@@ -105,7 +112,10 @@
     failed: int,
     now_ms: int,
 ) -> Result[JobRecord, KvError | Refused[str]]:
-    """Set a job to `completed` after all its segments are done."""
+    """Set a job to `completed` and remove it from its active list.
+
+    All its segments must be done. Refused when its state has changed.
+    """
     final = replace(
         with_counts(job, finished, failed),
         state='completed',
--- a/src/quetzaldyke/durable/deadlines.py
+++ b/src/quetzaldyke/durable/deadlines.py
@@ -1,7 +1,7 @@
-"""Deadlines given as a local time and an IANA zone.
+"""Resolves deadlines that are given as a local time and an IANA zone.
 
-A local time that the clock change skips counts as the instant after the
-gap. A local time that comes twice counts as the first of the two.
+A local time that a clock change skips resolves to the end of the gap. A
+local time that occurs twice resolves to the first occurrence.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def load_zone(name: str) -> Result[ZoneInfo, str]:
-    """Return a zone of the IANA data base."""
+    """Return a zone of the IANA time zone database, or why it fails."""
     try:
         return Ok(ZoneInfo(name))
     except (KeyError, ValueError, OSError):
@@ -27,7 +27,7 @@
 
 
 def resolve_deadline(local: str, zone_name: str) -> Result[Deadline, str]:
-    """Return the instant of a local time.
+    """Return the deadline at a local time in a zone, or why it is invalid.
 
     >>> resolve_deadline('2026-03-29T03:30', 'Europe/Athens').map(
     ...     lambda deadline: deadline.instant_ms
@@ -35,28 +35,28 @@
     Ok(1774746000000)
     """
     try:
-        wall = datetime.fromisoformat(local)
+        local_time = datetime.fromisoformat(local)
     except ValueError:
         return Err(f'deadline {local!r} is not an ISO local time')
-    if wall.tzinfo is not None:
-        return Err('the deadline is a local time; the zone is named apart')
+    if local_time.tzinfo is not None:
+        return Err('deadline must be a local time without a UTC offset')
     zone = load_zone(zone_name)
     if isinstance(zone, Err):
         return zone
     try:
-        instant = instant_of(wall.replace(fold=0), zone.ok_value)
+        instant = to_utc(local_time.replace(fold=0), zone.ok_value)
     except OverflowError:
         return Err(f'deadline {local!r} is out of range')
     instant_ms = int(instant.timestamp() * MS_IN_S)
     return Ok(Deadline(local, zone_name, instant_ms))
 
 
-def instant_of(wall: datetime, zone: tzinfo) -> datetime:
-    """Return the UTC instant of a wall time."""
-    before = wall.replace(tzinfo=zone, fold=0)
-    after = wall.replace(tzinfo=zone, fold=1)
-    # Within a gap, fold 0 has the offset before the change and fold 1 the
-    # offset after it; so fold 1 gives the earlier instant.
+def to_utc(local_time: datetime, zone: tzinfo) -> datetime:
+    """Return the UTC instant of a local time in a zone."""
+    before = local_time.replace(tzinfo=zone, fold=0)
+    after = local_time.replace(tzinfo=zone, fold=1)
+    # Within a gap, fold 0 uses the offset before the change and fold 1 the
+    # offset after it, so fold 1 gives the earlier instant.
     early, late = (
         after.astimezone(timezone.utc),
         before.astimezone(timezone.utc),
@@ -67,7 +67,10 @@
 
 
 def end_of_gap(early: datetime, late: datetime, zone: tzinfo) -> datetime:
-    """Return the instant of the offset change between two instants."""
+    """Return the instant of the offset change, by bisection.
+
+    `early` must be before the change and `late` after it.
+    """
     changed = late.astimezone(zone).utcoffset()
     while late - early > ONE_SECOND:
         middle = early + ((late - early) // 2)
--- a/src/quetzaldyke/durable/errors.py
+++ b/src/quetzaldyke/durable/errors.py
@@ -1,4 +1,4 @@
-"""Failures that callers of the batch interface get."""
+"""Errors that callers of the batch API get."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobError:
-    """A refusal; `ran` says truthfully whether it may have taken effect."""
+    """Error of an operation; `ran` says whether it may have taken effect."""
 
     status: int
     code: str
@@ -29,30 +29,34 @@
 
 
 def store_error(error: KvError, wrote: bool = False) -> JobError:
-    """Return the refusal for a failed call of the key-value service.
+    """Return the error for a failed call of the key-value service.
 
-    `wrote` tells that an earlier step of the same operation was written;
-    the operation has then partly run and a resend completes it.
+    `wrote` tells that an earlier step of the same operation was written. The
+    operation may then have taken effect, and a retry completes it.
     """
     if error.kind == 'too_large':
-        return JobError(TOO_LARGE, 'too_large', 'the record is too large')
+        return JobError(
+            TOO_LARGE,
+            'too_large',
+            'the record exceeds the size limit of the key-value service',
+        )
     uncertain = wrote or error.kind == 'unknown'
     return JobError(
         UNAVAILABLE,
         'store_unavailable',
-        'the key-value service does not answer; send the request again',
+        'the key-value service is unavailable; retry the request',
         'unknown' if uncertain else 'not_run',
         RETRY_AFTER_S,
     )
 
 
 def not_found(what: str) -> JobError:
-    """Return the refusal for an unknown id."""
+    """Return the error for an unknown id."""
     return JobError(NOT_FOUND, 'not_found', f'no such {what}')
 
 
 def expired(what: str) -> JobError:
-    """Return the refusal for something past its retention."""
+    """Return the error for a file or job past its retention time."""
     return JobError(
         NOT_FOUND,
         'expired',
--- a/src/quetzaldyke/durable/files.py
+++ b/src/quetzaldyke/durable/files.py
@@ -1,8 +1,8 @@
-"""Uploaded files: record, input segments and the jobs that need them.
+"""Stores uploaded files: a record and input segments, pinned by jobs.
 
 The record is written as `uploading` before the segments and as `ready`
-after them, so that an upload that broke off is found and removed, and a
-resend of the same contents completes it.
+after them. An incomplete upload is therefore found and deleted, or completed
+by another upload of the same contents.
 """
 
 from __future__ import annotations
@@ -18,7 +18,12 @@
 from quetzaldyke.durable import errors, inputs, keys
 from quetzaldyke.durable.change import Edit, change_record
 from quetzaldyke.durable.errors import JobError
-from quetzaldyke.durable.inputs import Item, Scan, put_once, read_segment
+from quetzaldyke.durable.inputs import (
+    FileScan,
+    Item,
+    put_if_absent,
+    read_segment,
+)
 from quetzaldyke.durable.records import (
     FileRecord,
     SegmentInput,
@@ -37,7 +42,7 @@
     organisation: str,
     file_id: str,
 ) -> Result[FileRecord, JobError]:
-    """Return a file that is ready."""
+    """Return the record of a file that is ready; fails for any other."""
     stored = await read(store, keys.file_key(organisation, file_id))
     if isinstance(stored, Err):
         return Err(errors.store_error(stored.err_value))
@@ -57,7 +62,7 @@
     file_id: str,
     edit: Edit[FileRecord],
 ) -> Result[FileRecord, KvError | Refused[str]]:
-    """Replace a file's record."""
+    """Replace a file's record by what `edit` returns."""
     key = keys.file_key(organisation, file_id)
     return await change_record(store, key, FileRecord, edit)
 
@@ -65,12 +70,15 @@
 async def scan_file(
     source: BinaryIO,
     max_body_bytes: int,
-) -> Result[Scan, JobError]:
-    """Check a whole file and compute the digest of its contents."""
-    scan = Scan(max_body_bytes)
+) -> Result[FileScan, JobError]:
+    """Validate a whole file and compute the digest of its contents.
+
+    Fails with all findings when a line is invalid or there are no items.
+    """
+    scan = FileScan(max_body_bytes)
     source.seek(0)
     lines = inputs.read_lines(source)
-    while await to_thread.run_sync(inputs.scan_some, scan, lines):
+    while await to_thread.run_sync(inputs.scan_chunk, scan, lines):
         continue
     if scan.items == 0 and not scan.errors.found:
         scan.errors.add('file', 'has no items')
@@ -80,14 +88,14 @@
     return Ok(scan)
 
 
-def begin_upload(
+def new_upload_record(
     organisation: str,
     filename: str,
     size_bytes: int,
     now_ms: int,
-    scan: Scan,
+    scan: FileScan,
 ) -> FileRecord:
-    """Return the record of an upload whose segments are not written yet."""
+    """Return the record of an upload before its segments are written."""
     digest = scan.digest.hexdigest()
     return FileRecord(
         keys.file_id_of(organisation, digest),
@@ -106,24 +114,30 @@
 
 async def store_upload(
     store: KeyValueStore,
-    begun: FileRecord,
+    new_record: FileRecord,
     source: BinaryIO,
 ) -> Result[FileRecord, JobError]:
-    """Write a checked file; the same contents again complete the record."""
+    """Write the record and segments of a validated file.
+
+    An existing record of the same contents is completed or, when it is
+    ready, returned without writing the segments again.
+    """
 
-    def begin(known: FileRecord | None) -> FileRecord | Refused[str]:
-        if known is None or known.state == 'expired':
-            return begun
-        # A later upload starts the retention time anew.
-        return replace(known, touched_ms=begun.touched_ms)
+    def begin(current: FileRecord | None) -> FileRecord | Refused[str]:
+        if current is None or current.state == 'expired':
+            return new_record
+        # Another upload of the same contents restarts the retention time.
+        return replace(current, last_used_ms=new_record.last_used_ms)
 
-    started = await change_file(store, begun.organisation, begun.file_id, begin)
+    started = await change_file(
+        store, new_record.organisation, new_record.file_id, begin
+    )
     if isinstance(started, Err):
-        return Err(store_failure(started.err_value))
+        return Err(change_error(started.err_value))
     record = started.ok_value
     if record.state == 'ready':
         return Ok(record)
-    segments = await write_segments(store, record.upload, source)
+    segments = await write_segments(store, record.upload_id, source)
     if isinstance(segments, Err):
         return Err(errors.store_error(segments.err_value, wrote=True))
     return await finish_upload(store, record, segments.ok_value)
@@ -134,24 +148,24 @@
     record: FileRecord,
     segments: list[SegmentInput],
 ) -> Result[FileRecord, JobError]:
-    """Mark an upload as ready."""
+    """Mark an upload as ready; fails when it expired meanwhile."""
 
-    def finish(known: FileRecord | None) -> FileRecord | Refused[str]:
-        if known is None or known.upload != record.upload:
+    def finish(current: FileRecord | None) -> FileRecord | Refused[str]:
+        if current is None or current.upload_id != record.upload_id:
             return Refused('the upload expired')
-        return replace(known, state='ready', segments=segments)
+        return replace(current, state='ready', segments=segments)
 
     ready = await change_file(
         store, record.organisation, record.file_id, finish
     )
-    return ready.map_err(lambda error: store_failure(error, wrote=True))
+    return ready.map_err(lambda error: change_error(error, wrote=True))
 
 
-def store_failure(
+def change_error(
     error: KvError | Refused[str],
     wrote: bool = False,
 ) -> JobError:
-    """Return the refusal for a failed change of a record."""
+    """Return the error for a failed change of a record."""
     if isinstance(error, Refused):
         return JobError(errors.CONFLICT, 'conflict', error.reason)
     return errors.store_error(error, wrote)
@@ -159,10 +173,10 @@
 
 async def write_segments(
     store: KeyValueStore,
-    upload: str,
+    upload_id: str,
     source: BinaryIO,
 ) -> Result[list[SegmentInput], KvError]:
-    """Write the input segments of a file."""
+    """Write the input segments of a file and return them in order."""
     source.seek(0)
     lines = inputs.read_lines(source)
     written: list[SegmentInput] = []
@@ -171,8 +185,8 @@
         if not batch:
             return Ok(written)
         for packed, count in batch:
-            name = inputs.segment_name(upload, len(written), packed)
-            put = await put_once(store, keys.input_key(name), packed)
+            name = inputs.segment_name(upload_id, len(written), packed)
+            put = await put_if_absent(store, keys.input_key(name), packed)
             if isinstance(put, Err):
                 return put
             written.append(SegmentInput(name, count))
@@ -185,20 +199,25 @@
     job_id: str,
     now_ms: int,
 ) -> Result[FileRecord, JobError]:
-    """Keep a file as long as a job needs it."""
+    """Add a job to those that keep the file from expiring.
+
+    Fails when the file is not ready.
+    """
 
-    def pin(known: FileRecord | None) -> FileRecord | Refused[str]:
-        if known is None or known.state != 'ready':
+    def pin(current: FileRecord | None) -> FileRecord | Refused[str]:
+        if current is None or current.state != 'ready':
             return Refused('the file expired')
-        if job_id in known.jobs:
-            return known
-        return replace(known, touched_ms=now_ms, jobs=[*known.jobs, job_id])
+        if job_id in current.jobs:
+            return current
+        return replace(
+            current, last_used_ms=now_ms, jobs=[*current.jobs, job_id]
+        )
 
     pinned = await change_file(store, organisation, file_id, pin)
-    return pinned.map_err(store_failure)
+    return pinned.map_err(change_error)
 
 
-async def items_of_file(
+async def read_items(
     store: KeyValueStore,
     record: FileRecord,
 ) -> AsyncIterator[Result[list[Item], KvError]]:
--- a/src/quetzaldyke/durable/inputs.py
+++ b/src/quetzaldyke/durable/inputs.py
@@ -1,6 +1,6 @@
-"""Items of a batch file and their storage in input segments.
+"""Parses batch files and stores their items in input segments.
 
-A file is one JSON object a line. Parsing and compression run in a worker
+A file has one JSON object per line. Parsing and compression run in a worker
 thread, one segment at a time, so that a large upload does not block online
 requests on the event loop.
 """
@@ -29,7 +29,7 @@
 
 MAX_SEGMENT_ITEMS: Final = 500
 MAX_SEGMENT_BYTES: Final = 524_288  # 512 KiB
-# Bounds the memory of one segment before compression.
+# Bounds the memory that one segment takes before compression.
 MAX_SEGMENT_RAW_BYTES: Final = 4_194_304  # 4 MiB
 COMPRESSION_LEVEL: Final = 6
 MAX_FINDINGS: Final = 20
@@ -52,8 +52,8 @@
 
 
 @dataclass(slots=True)
-class Scan:
-    """What one pass over a file found."""
+class FileScan:
+    """Findings, totals and contents digest of one pass over a file."""
 
     max_body_bytes: int
     digest: Any = field(default_factory=hashlib.sha256)
@@ -65,12 +65,12 @@
     line: int = 0
 
     def add_error(self, message: str) -> None:
-        """Record a finding for the present line."""
+        """Add a finding for the current line, up to MAX_FINDINGS in all."""
         if len(self.errors.findings) < MAX_FINDINGS:
             self.errors.add(f'line {self.line:06d}', message)
 
-    def note(self, item: Item, model: str) -> None:
-        """Take a valid item into the digest of the contents."""
+    def add_item(self, item: Item, model: str) -> None:
+        """Count a valid item and add it to the digest of the contents."""
         if item.custom_id in self.custom_ids:
             self.add_error(f'custom_id {item.custom_id!r} is not unique')
         self.custom_ids.add(item.custom_id)
@@ -82,11 +82,11 @@
 
 
 def parse_line(raw: bytes) -> tuple[Item, str] | str:
-    """Return the item of a line and its model, or what is wrong with it."""
+    """Return the item of a line and its model, or why it is invalid."""
     try:
         parsed = json.loads(raw)
     except ValueError:
-        return 'is not JSON'
+        return 'is not valid JSON'
     match parsed:
         case {
             'custom_id': str(custom_id),
@@ -106,8 +106,8 @@
         yield line.strip()
 
 
-def scan_some(scan: Scan, lines: Iterator[bytes]) -> bool:
-    """Check up to one segment of lines; False at the end of the file."""
+def scan_chunk(scan: FileScan, lines: Iterator[bytes]) -> bool:
+    """Validate the next MAX_SEGMENT_ITEMS lines; False at the end."""
     for _ in range(MAX_SEGMENT_ITEMS):
         raw = next(lines, None)
         if raw is None:
@@ -121,39 +121,49 @@
         elif len(parsed[0].body) > scan.max_body_bytes:
             scan.add_error(f'body is over {scan.max_body_bytes} bytes')
         else:
-            scan.note(*parsed)
+            scan.add_item(*parsed)
     return True
 
 
-def next_batch(lines: Iterator[bytes]) -> list[Item]:
-    """Return the items of the next segment; empty at the end."""
-    batch: list[Item] = []
+def next_items(lines: Iterator[bytes]) -> list[Item]:
+    """Return the items of the next segment; empty at the end.
+
+    Blank lines are skipped. The file must have passed `scan_chunk`.
+    """
+    items: list[Item] = []
     size = 0
     for raw in lines:
         parsed = parse_line(raw) if raw else ''
         if isinstance(parsed, str):
             continue
-        batch.append(parsed[0])
+        items.append(parsed[0])
         size += parsed[0].size_bytes
-        if len(batch) == MAX_SEGMENT_ITEMS or size >= MAX_SEGMENT_RAW_BYTES:
+        if len(items) == MAX_SEGMENT_ITEMS or size >= MAX_SEGMENT_RAW_BYTES:
             break
-    return batch
+    return items
+
 
+def pack_segments(items: list[Item]) -> list[tuple[bytes, int]]:
+    """Return compressed segments with their numbers of items.
 
-def pack_segments(batch: list[Item]) -> list[tuple[bytes, int]]:
-    """Return compressed segments under the size limit with their counts."""
-    rows = [[item.custom_id, item.url, item.body] for item in batch]
+    Items are split until each segment is within the size limit or holds a
+    single item.
+    """
+    rows = [[item.custom_id, item.url, item.body] for item in items]
     packed = zlib.compress(msgpack.packb(rows), COMPRESSION_LEVEL)
-    if len(packed) <= MAX_SEGMENT_BYTES or len(batch) == 1:
-        return [(packed, len(batch))]
-    middle = len(batch) // 2
-    return [*pack_segments(batch[:middle]), *pack_segments(batch[middle:])]
+    if len(packed) <= MAX_SEGMENT_BYTES or len(items) == 1:
+        return [(packed, len(items))]
+    middle = len(items) // 2
+    return [*pack_segments(items[:middle]), *pack_segments(items[middle:])]
 
 
 def next_segments(lines: Iterator[bytes]) -> list[tuple[bytes, int]]:
-    """Return the next compressed segments; empty at the end."""
-    batch = next_batch(lines)
-    return pack_segments(batch) if batch else []
+    """Return the next compressed segments with their numbers of items.
+
+    The list is empty at the end of the file.
+    """
+    items = next_items(lines)
+    return pack_segments(items) if items else []
 
 
 def unpack_segment(packed: bytes) -> list[Item]:
@@ -162,24 +172,26 @@
     return [Item(*row) for row in rows]
 
 
-def segment_name(upload: str, number: int, packed: bytes) -> str:
+def segment_name(upload_id: str, number: int, packed: bytes) -> str:
     """Return the name of a stored segment.
 
-    Upload and number come first, so that the segments of an upload that
-    broke off can be found and deleted.
+    It starts with the upload id and the number, so that the segments of an
+    incomplete upload can be found and deleted.
     """
     digest = hashlib.sha256(packed).hexdigest()[: keys.ID_CHARS]
-    return f'{upload}.{number}.{digest}'
+    return f'{upload_id}.{number}.{digest}'
 
 
-async def put_once(
+async def put_if_absent(
     store: KeyValueStore,
     key: str,
     contents: bytes,
 ) -> Result[None, KvError]:
-    """Create a key whose name determines its contents.
+    """Create a key whose name determines its contents, with retries.
 
-    A conflict means that an earlier try or another process created it.
+    A conflict counts as success, because it means that an earlier try or
+    another process has created the key. The error is `unknown` when a try
+    may have taken effect.
     """
     error = KvError('unavailable')
     for _ in range(MAX_PUT_TRIES):
@@ -200,7 +212,7 @@
     store: KeyValueStore,
     name: str,
 ) -> Result[list[Item], KvError]:
-    """Return the items of a segment."""
+    """Return the items of an input segment; fails when it is missing."""
     found = await store.get(keys.input_key(name))
     if isinstance(found, Err):
         return found
--- a/src/quetzaldyke/durable/jobs.py
+++ b/src/quetzaldyke/durable/jobs.py
@@ -1,8 +1,9 @@
-"""Acceptance of jobs: exactly one job for a request and all its resends.
+"""Creates jobs, exactly one for a request and all its retries.
 
-The steps are: pin the file, settle which job has these contents, write the
-job, list it as active. Each step can be repeated, so a resend after any
-lost answer completes what is missing and returns the same job.
+The steps are: resolve which job has these contents, pin the file, write the
+job's record, add the job to its active list. Each step is idempotent, so a
+retry after a lost answer completes the missing steps and returns the same
+job.
 """
 
 from __future__ import annotations
@@ -33,19 +34,20 @@
 )
 
 JobResult = Result[JobRecord, JobError]
-Admit = Callable[[], Awaitable[Result[None, JobError]]]
+AdmissionCheck = Callable[[], Awaitable[Result[None, JobError]]]
 
 
 @dataclass(frozen=True, slots=True)
 class NewJob:
-    """A checked request for a job."""
+    """A validated request for a job."""
 
     organisation: str
     file: FileRecord
     endpoint: str
     pool: str
     deadline: Deadline
-    # Text that enters the contents hash; equal for a resend.
+    # Part of the contents hash. It is the deadline as given, because the
+    # instant of a default deadline differs between a request and its retry.
     deadline_text: str
     idempotency_key: str = ''
     metadata: dict[str, str] = field(default_factory=dict)
@@ -53,7 +55,7 @@
 
     @property
     def contents(self) -> str:
-        """Return the hash of what the job is to do."""
+        """Return the hash of the job's input, endpoint and deadline."""
         return keys.contents_hash(
             self.organisation,
             self.file.input_digest,
@@ -63,7 +65,7 @@
 
     @property
     def job_id(self) -> str:
-        """Return the id that this request gives its job."""
+        """Return the id that is derived from this request."""
         return keys.job_id_of(
             self.organisation,
             self.idempotency_key,
@@ -76,10 +78,12 @@
     organisation: str,
     job_id: str,
 ) -> Result[JobRecord | None, KvError]:
-    """Return a job's record."""
+    """Return a job's record, or None when there is none."""
     stored = await read(store, keys.job_key(organisation, job_id))
     return stored.map(
-        lambda one: unpack(JobRecord, one.payload) if one.payload else None,
+        lambda value: (
+            unpack(JobRecord, value.payload) if value.payload else None
+        ),
     )
 
 
@@ -89,7 +93,7 @@
     job_id: str,
     edit: Edit[JobRecord],
 ) -> Result[JobRecord, KvError | Refused[str]]:
-    """Replace a job's record."""
+    """Replace a job's record by what `edit` returns; see `change_record`."""
     key = keys.job_key(organisation, job_id)
     return await change_record(store, key, JobRecord, edit)
 
@@ -97,46 +101,50 @@
 async def accept_job(
     store: KeyValueStore,
     new: NewJob,
-    admit: Admit,
+    check_admission: AdmissionCheck,
     now_ms: int,
 ) -> JobResult:
-    """Accept a job, or return the job that an earlier request made.
+    """Create a job, or return the job that an earlier request created.
 
-    `admit` may refuse a job that does not exist yet.
+    `check_admission` can reject a job that does not exist yet. Fails also
+    for a reused idempotency key, an expired file and store errors.
     """
-    known = await read_job(store, new.organisation, new.job_id)
-    if isinstance(known, Err):
-        return Err(errors.store_error(known.err_value))
-    job = known.ok_value
-    if job is not None and (job.keyed or not job.purged):
-        return await accept_again(store, new, job)
+    found = await read_job(store, new.organisation, new.job_id)
+    if isinstance(found, Err):
+        return Err(errors.store_error(found.err_value))
+    job = found.ok_value
+    if job is not None and (job.has_idempotency_key or not job.purged):
+        return await accept_retry(store, new, job)
     proposed = new.job_id
     if job is not None:
-        # The id stays with the expired job: processes remember the ids of
-        # cancelled jobs and would refuse a later job of the same id.
-        proposed = keys.later_job_id(job.job_id, now_ms)
-    job_id = await settle_contents(store, new, proposed, admit)
+        # The id of the expired job is not used again: processes remember the
+        # ids of cancelled jobs and would reject a new job with such an id.
+        proposed = keys.replacement_job_id(job.job_id, now_ms)
+    job_id = await resolve_job_id(store, new, proposed, check_admission)
     if isinstance(job_id, Err):
         return job_id
     return await write_job(store, new, job_id.ok_value, now_ms)
 
 
-async def accept_again(
+async def accept_retry(
     store: KeyValueStore,
     new: NewJob,
-    known: JobRecord,
+    current: JobRecord,
 ) -> JobResult:
-    """Answer a resend from the record of the first request."""
-    if known.contents != new.contents:
+    """Return the job of the first request to a retry of it.
+
+    Fails when the key was used with other contents and when the job expired.
+    """
+    if current.contents != new.contents:
         return Err(
             JobError(
                 errors.CONFLICT,
                 'idempotency_key_reused',
-                'the idempotency key was used for a job of other contents',
+                'the idempotency key was used for a job with other contents',
             ),
         )
-    if known.state != 'expired':
-        return await list_job(store, known)
+    if current.state != 'expired':
+        return await add_to_active_list(store, current)
     return Err(
         JobError(
             errors.CONFLICT,
@@ -146,16 +154,17 @@
     )
 
 
-async def settle_contents(
+async def resolve_job_id(
     store: KeyValueStore,
     new: NewJob,
     proposed: str,
-    admit: Admit,
+    check_admission: AdmissionCheck,
 ) -> Result[str, JobError]:
-    """Return the id of the one job that these contents have.
+    """Return the id of the job that runs these contents.
 
-    The first request writes its job's id; later ones with another key read
-    it. A job that was meant to be a duplicate does not take part.
+    The first request stores its job's id under the hash of the contents, and
+    later requests with another idempotency key get that id. A request that
+    allows a duplicate neither uses nor changes the stored id.
     """
     key = keys.contents_key(new.organisation, new.contents)
     found = await read(store, key)
@@ -163,7 +172,7 @@
         return Err(errors.store_error(found.err_value))
     if found.ok_value.payload and not new.allow_duplicate:
         return Ok(found.ok_value.payload.decode())
-    admitted = await admit()
+    admitted = await check_admission()
     if isinstance(admitted, Err):
         return admitted
     if new.allow_duplicate:
@@ -186,7 +195,7 @@
     job_id: str,
     now_ms: int,
 ) -> JobResult:
-    """Write the job's record unless it is there, then list it."""
+    """Write the job's record if it is absent, then list it as active."""
     pinned = await files.pin_file(
         store,
         new.organisation,
@@ -196,26 +205,26 @@
     )
     if isinstance(pinned, Err):
         return Err(replace(pinned.err_value, ran='unknown'))
-    record = record_of(new, pinned.ok_value, job_id, now_ms)
+    record = initial_record(new, pinned.ok_value, job_id, now_ms)
 
-    def create(known: JobRecord | None) -> JobRecord | Refused[str]:
-        return record if known is None else known
+    def create(current: JobRecord | None) -> JobRecord | Refused[str]:
+        return record if current is None else current
 
     written = await change_job(store, new.organisation, job_id, create)
     if isinstance(written, Err):
-        return Err(files.store_failure(written.err_value, wrote=True))
+        return Err(files.change_error(written.err_value, wrote=True))
     if written.ok_value.state == 'expired':
         return Err(errors.expired('job'))
-    return await list_job(store, written.ok_value)
+    return await add_to_active_list(store, written.ok_value)
 
 
-def record_of(
+def initial_record(
     new: NewJob,
     pinned: FileRecord,
     job_id: str,
     now_ms: int,
 ) -> JobRecord:
-    """Return the first record of a job."""
+    """Return the record of a new job."""
     return JobRecord(
         job_id,
         new.organisation,
@@ -228,12 +237,15 @@
         now_ms,
         new.metadata,
         pinned.segments,
-        keyed=bool(new.idempotency_key),
+        has_idempotency_key=bool(new.idempotency_key),
     )
 
 
-async def list_job(store: KeyValueStore, job: JobRecord) -> JobResult:
-    """Put an accepted job on its active list; this completes acceptance."""
+async def add_to_active_list(store: KeyValueStore, job: JobRecord) -> JobResult:
+    """Add a job to its active list, the last step of acceptance.
+
+    A job in a final state is returned without a change.
+    """
     if job.state in FINAL_STATES:
         return Ok(job)
     row = ActiveJob(
@@ -254,20 +266,20 @@
     job_id: str,
     now_ms: int,
 ) -> JobResult:
-    """Set a job to `cancelling`; a finished job is returned as it is."""
+    """Set a running job to `cancelling`; return any other job unchanged."""
 
-    def edit(known: JobRecord | None) -> JobRecord | Refused[str]:
-        if known is None:
+    def edit(current: JobRecord | None) -> JobRecord | Refused[str]:
+        if current is None:
             return Refused('unknown')
-        if known.state != 'in_progress':
-            return known
-        return replace(known, state='cancelling', cancelling_ms=now_ms)
+        if current.state != 'in_progress':
+            return current
+        return replace(current, state='cancelling', cancelling_ms=now_ms)
 
     changed = await change_job(store, organisation, job_id, edit)
     if isinstance(changed, Ok):
-        # A half-written acceptance is listed, so that the cancel is resumed
-        # by another entry when this one dies.
-        return await list_job(store, changed.ok_value)
+        # A job whose acceptance was interrupted is not listed yet. Only a
+        # listed job has its cancel resumed when this entry crashes.
+        return await add_to_active_list(store, changed.ok_value)
     if isinstance(changed.err_value, Refused):
         return Err(errors.not_found('job'))
     return Err(errors.store_error(changed.err_value))
@@ -278,13 +290,17 @@
     job: JobRecord,
     final: JobRecord,
 ) -> Result[JobRecord, KvError | Refused[str]]:
-    """Set a final state if the job is still in the state it was read in."""
+    """Write the final record unless the job's state has changed.
+
+    Succeeds when the job has the final state already, and is refused with
+    the current state when it has any other.
+    """
 
-    def edit(known: JobRecord | None) -> JobRecord | Refused[str]:
-        if known is None:
+    def edit(current: JobRecord | None) -> JobRecord | Refused[str]:
+        if current is None:
             return Refused('unknown')
-        if known.state == final.state:
-            return known
-        return final if known.state == job.state else Refused(known.state)
+        if current.state == final.state:
+            return current
+        return final if current.state == job.state else Refused(current.state)
 
     return await change_job(store, job.organisation, job.job_id, edit)
--- a/src/quetzaldyke/durable/keys.py
+++ b/src/quetzaldyke/durable/keys.py
@@ -1,6 +1,6 @@
-"""Keys of batch records and the ids that are derived from contents.
+"""Keys of batch records and ids that are derived from contents.
 
-Ids of files and jobs are hashes, so that a resend names the same record
+Ids of files and jobs are hashes, so that a retry names the same record
 without a lookup. The organisation is part of each hash.
 """
 
@@ -17,7 +17,7 @@
 
 
 def hash_parts(*parts: str) -> str:
-    """Return a hash of texts that keeps their borders apart.
+    """Return a hash of texts that also depends on where each one ends.
 
     >>> hash_parts('ab', 'c') == hash_parts('a', 'bc')
     False
@@ -31,7 +31,7 @@
 
 
 def file_id_of(organisation: str, input_digest: str) -> str:
-    """Return the id of a file with these contents."""
+    """Return the id of an organisation's file with these contents."""
     return f'file-{hash_parts(organisation, input_digest)}'
 
 
@@ -41,19 +41,23 @@
     endpoint: str,
     deadline: str,
 ) -> str:
-    """Return the hash that two jobs with the same contents share."""
+    """Return a hash that is equal for jobs with the same contents."""
     return hash_parts(organisation, input_digest, endpoint, deadline)
 
 
 def job_id_of(organisation: str, key: str, contents: str) -> str:
-    """Return the id of a job with an idempotency key, or without one."""
+    """Return the id of a job.
+
+    It is derived from the idempotency key, or from the contents when there
+    is no key.
+    """
     if key:
         return f'batch_{hash_parts(organisation, "key", key)}'
     return f'batch_{hash_parts(organisation, "contents", contents)}'
 
 
-def later_job_id(job_id: str, now_ms: int) -> str:
-    """Return the id of a job that follows an expired one."""
+def replacement_job_id(job_id: str, now_ms: int) -> str:
+    """Return the id of a new job with the contents of an expired one."""
     return f'batch_{hash_parts(job_id, str(now_ms))}'
 
 
@@ -73,12 +77,12 @@
 
 
 def contents_key(organisation: str, contents: str) -> str:
-    """Return the key that names the job with these contents."""
+    """Return the key that holds the id of the job with these contents."""
     return f'contents/{organisation}/{contents}'
 
 
 def active_list_of(job_id: str) -> int:
-    """Return the number of the active list that holds a job.
+    """Return the number of the active list that a job belongs to.
 
     >>> 0 <= active_list_of('batch_1') < ACTIVE_LIST_COUNT
     True
--- a/src/quetzaldyke/durable/order.py
+++ b/src/quetzaldyke/durable/order.py
@@ -1,4 +1,4 @@
-"""Order of batch work: slack first, then fairness among organisations."""
+"""Orders batch work: by slack, then round robin among organisations."""
 
 from __future__ import annotations
 
@@ -8,18 +8,21 @@
 from typing import Final, TypeVar
 
 MS_IN_S: Final = 1000
-# Time constant of the rate. Results are recorded in groups up to 5 s apart,
-# so a shorter one follows single commits.
-RATE_WINDOW_S: Final = 15.0
+# Time constant of the moving average. Results are committed in groups up to
+# 5 s apart, so with a shorter one the rate would follow single commits.
+RATE_TIME_CONSTANT_S: Final = 15.0
 MIN_INTERVAL_S: Final = 0.001
-# Used before the first rate is known, so that a new job is neither late nor
-# endless: one item a second.
-FIRST_RATE: Final = 1.0
+# Assumed while no rate is known: one item per second. A new job then neither
+# counts as late nor has an infinite estimate.
+INITIAL_RATE_PER_S: Final = 1.0
 
 
 @dataclass(slots=True)
 class RateEstimate:
-    """Items that a job finishes in a second, as a moving average.
+    """Moving average of the items that a job finishes per second.
+
+    Within the first time constant it is the plain average since the first
+    sample, then an exponentially weighted one.
 
     >>> rate = RateEstimate()
     >>> rate.sample(0, 0.0)
@@ -30,31 +33,33 @@
 
     per_s: float = 0.0
     finished: int = -1
-    at_s: float = 0.0
+    sampled_s: float = 0.0
     first_finished: int = 0
     first_s: float = 0.0
 
     def sample(self, finished: int, now_s: float) -> None:
-        """Take the number of items finished so far."""
+        """Update the rate with the number of items finished so far."""
         if self.finished < 0:
             self.first_finished, self.first_s = finished, now_s
-        elif now_s - self.first_s <= RATE_WINDOW_S:
-            whole_s = max(now_s - self.first_s, MIN_INTERVAL_S)
-            self.per_s = (finished - self.first_finished) / whole_s
+        elif now_s - self.first_s <= RATE_TIME_CONSTANT_S:
+            elapsed_s = max(now_s - self.first_s, MIN_INTERVAL_S)
+            self.per_s = (finished - self.first_finished) / elapsed_s
         else:
-            passed_s = max(now_s - self.at_s, MIN_INTERVAL_S)
-            newest = max(0, finished - self.finished) / passed_s
-            weight = 1 - math.exp(-passed_s / RATE_WINDOW_S)
-            self.per_s += weight * (newest - self.per_s)
-        self.finished, self.at_s = finished, now_s
+            interval_s = max(now_s - self.sampled_s, MIN_INTERVAL_S)
+            latest_per_s = max(0, finished - self.finished) / interval_s
+            weight = 1 - math.exp(-interval_s / RATE_TIME_CONSTANT_S)
+            self.per_s += weight * (latest_per_s - self.per_s)
+        self.finished, self.sampled_s = finished, now_s
 
     def remaining_s(self, remaining: int) -> float:
-        """Return the estimated time of the remaining items."""
-        return remaining / (self.per_s or FIRST_RATE)
+        """Return the estimated time to finish the remaining items."""
+        return remaining / (self.per_s or INITIAL_RATE_PER_S)
 
 
 def slack_s(deadline_ms: int, now_ms: int, remaining_s: float) -> float:
-    """Return the time left minus the time that the items need.
+    """Return the time to the deadline minus the estimated work.
+
+    It is negative for a job that is expected to miss its deadline.
 
     >>> slack_s(10_000, 4_000, 2.0)
     4.0
@@ -69,29 +74,30 @@
     queues: Sequence[Sequence[ItemT]],
     limit: int,
 ) -> list[ItemT]:
-    """Return up to `limit` items of the queues in turns, first queue first.
+    """Return up to `limit` items, taken from the queues in turns.
 
     >>> round_robin([['a1', 'a2', 'a3'], ['b1']], 3)
     ['a1', 'b1', 'a2']
     """
     longest = max((len(queue) for queue in queues), default=0)
-    turns = [
+    interleaved = [
         queue[position]
         for position in range(longest)
         for queue in queues
         if position < len(queue)
     ]
-    return turns[:limit]
+    return interleaved[:limit]
 
 
 def round_robin_by_organisation(
     queues: Sequence[tuple[str, Sequence[ItemT]]],
     limit: int,
 ) -> list[ItemT]:
-    """Return up to `limit` items, organisations in turns.
+    """Return up to `limit` items, taken from the organisations in turns.
 
-    Each queue is a job's with its organisation, the most urgent first; the
-    jobs of one organisation take turns within its share.
+    Each queue belongs to a job and comes with the job's organisation, the
+    most urgent job first. The jobs of an organisation take turns within its
+    share.
 
     >>> queues = [('x', ['a1', 'a2']), ('x', ['b1']), ('y', ['c1'])]
     >>> round_robin_by_organisation(queues, 3)
@@ -100,8 +106,8 @@
     by_organisation: dict[str, list[Sequence[ItemT]]] = {}
     for organisation, queue in queues:
         by_organisation.setdefault(organisation, []).append(queue)
-    dealt = [
-        round_robin(own, sum(len(queue) for queue in own))
-        for own in by_organisation.values()
+    per_organisation = [
+        round_robin(queues_of_one, sum(len(queue) for queue in queues_of_one))
+        for queues_of_one in by_organisation.values()
     ]
-    return round_robin(dealt, limit)
+    return round_robin(per_organisation, limit)
--- a/src/quetzaldyke/durable/output.py
+++ b/src/quetzaldyke/durable/output.py
@@ -1,4 +1,7 @@
-"""Lines of uploaded files and of results, one segment in memory at a time."""
+"""Streams the JSON lines of uploaded, output and error files.
+
+Only one segment is held in memory at a time.
+"""
 
 from __future__ import annotations
 
@@ -13,33 +16,34 @@
 from quetzaldyke.parts.kv import KeyValueStore, KvError
 
 
-class StoreFault(Exception):
-    """The store failed while lines were sent.
+class StoreReadError(Exception):
+    """The store failed while the lines of a file were being sent.
 
-    The connection breaks, so that a short answer is never taken for whole.
+    It aborts the connection, so that the client can't take the incomplete
+    response for a complete one.
     """
 
 
-def fault(error: KvError) -> StoreFault:
+def read_error(error: KvError) -> StoreReadError:
     """Return the exception for a failed read."""
-    return StoreFault(f'{error.kind} {error.detail}')
+    return StoreReadError(f'{error.kind} {error.detail}')
 
 
 async def item_lines(
     store: KeyValueStore,
     record: FileRecord,
 ) -> AsyncIterator[bytes]:
-    """Yield the lines of an uploaded file."""
-    async for found in files.items_of_file(store, record):
+    """Yield the lines of an uploaded file, joined per segment."""
+    async for found in files.read_items(store, record):
         if isinstance(found, Err):
-            raise fault(found.err_value)
+            raise read_error(found.err_value)
         yield b''.join(item_line(item) for item in found.ok_value)
 
 
-def open_object(document: str, name: str) -> bytes:
-    """Return a JSON object that goes on with one more field.
+def open_field(document: str, name: str) -> bytes:
+    """Return a JSON object left open for the value of one more field.
 
-    >>> open_object('{"a": 1}', 'b')
+    >>> open_field('{"a": 1}', 'b')
     b'{"a": 1, "b": '
     """
     return f'{document[:-1]}, "{name}": '.encode()
@@ -50,7 +54,7 @@
     head = json.dumps(
         {'custom_id': item.custom_id, 'method': 'POST', 'url': item.url},
     )
-    return b''.join((open_object(head, 'body'), item.body, b'}\n'))
+    return b''.join((open_field(head, 'body'), item.body, b'}\n'))
 
 
 async def result_lines(
@@ -58,42 +62,45 @@
     job: JobRecord,
     failed: bool,
 ) -> AsyncIterator[bytes]:
-    """Yield the recorded results, or the failed items, in input order."""
+    """Yield the lines of the output or error file in input order.
+
+    `failed` selects the items that were recorded as failed.
+    """
     for number, segment in enumerate(job.segments):
-        found = await segment_results(store, job.job_id, number)
-        chosen = [one for one in found if one.failed == failed]
+        found = await read_segment_results(store, job.job_id, number)
+        chosen = [result for result in found if result.failed == failed]
         if not chosen:
             continue
         items = await inputs.read_segment(store, segment.name)
         if isinstance(items, Err):
-            raise fault(items.err_value)
+            raise read_error(items.err_value)
         prefix = f'{job.job_id}-{number}'
         yield b''.join(
-            result_line(prefix, items.ok_value[one.index], one)
-            for one in sorted(chosen, key=lambda result: result.index)
+            result_line(prefix, items.ok_value[result.index], result)
+            for result in sorted(chosen, key=lambda result: result.index)
         )
 
 
-async def segment_results(
+async def read_segment_results(
     store: KeyValueStore,
     job_id: str,
     segment: int,
 ) -> list[ItemResult]:
-    """Return all recorded results of a segment."""
+    """Return all recorded results of a segment; raises StoreReadError."""
     found = await progress.read_progress(store, job_id, segment)
     if isinstance(found, Err):
-        raise fault(found.err_value)
+        raise read_error(found.err_value)
     if found.ok_value is None:
         return []
     collected: list[ItemResult] = []
-    async for part in progress.results_of(
+    async for part in progress.read_results(
         store,
         job_id,
         segment,
         found.ok_value,
     ):
         if isinstance(part, Err):
-            raise fault(part.err_value)
+            raise read_error(part.err_value)
         collected.extend(part.ok_value)
     return collected
 
@@ -101,7 +108,7 @@
 def result_line(prefix: str, item: Item, result: ItemResult) -> bytes:
     """Return one line of an output or error file.
 
-    The stored body is JSON and goes into the line as it is.
+    The stored body is JSON and is inserted into the line unparsed.
     """
     request_id = f'{prefix}-{result.index}'
     head = json.dumps({'id': request_id, 'custom_id': item.custom_id})
@@ -112,10 +119,12 @@
     )
     response = b'null'
     if result.body:
-        facts = json.dumps(
+        head_fields = json.dumps(
             {'status_code': result.status, 'request_id': request_id},
         )
-        response = b''.join((open_object(facts, 'body'), result.body, b'}'))
+        response = b''.join(
+            (open_field(head_fields, 'body'), result.body, b'}')
+        )
     history = json.dumps(
         {
             'tries': result.tries,
@@ -125,7 +134,7 @@
     )
     return b''.join(
         (
-            open_object(head, 'response'),
+            open_field(head, 'response'),
             response,
             f', "error": {error}, "history": {history}}}\n'.encode(),
         ),
--- a/src/quetzaldyke/durable/progress.py
+++ b/src/quetzaldyke/durable/progress.py
@@ -1,7 +1,7 @@
-"""Ownership and results of segments.
+"""Stores the ownership and the results of segments.
 
 Every write is a compare-and-swap on one record that holds epoch, owner and
-results. A write by a former owner, or one planned on an older record, is
+results. A write by a former owner, or one based on an older record, is
 therefore rejected as a whole, and a recorded result is never replaced.
 """
 
@@ -16,15 +16,15 @@
 from result import Err, Ok, Result
 
 from quetzaldyke.durable import keys
-from quetzaldyke.durable.inputs import put_once
+from quetzaldyke.durable.inputs import put_if_absent
 from quetzaldyke.durable.records import (
     ItemResult,
     Progress,
     from_row,
+    mark_finished,
     pack_list,
     to_row,
     unpack_list,
-    with_bits,
 )
 from quetzaldyke.parts.kv import (
     KeyValueStore,
@@ -41,9 +41,11 @@
 ProgressChange = Callable[[Progress | None], Progress | Refused[str]]
 ProgressResult = Result[Progress, KvError | Refused[str]]
 
-LOST: Final = Refused('ownership was lost')
-STALE: Final = Refused('the record was changed since it was read')
-CLOSED: Final = Refused('the segment is closed')
+OWNERSHIP_LOST: Final = Refused('the ownership of the segment was lost')
+RECORD_CHANGED: Final = Refused(
+    'the progress record has changed since it was read'
+)
+SEGMENT_CLOSED: Final = Refused('the segment is closed')
 UNCHANGED: Final = Refused('unchanged')
 
 
@@ -54,11 +56,11 @@
 ) -> Result[Progress | None, KvError]:
     """Return the progress of a segment; None before its first claim."""
     stored = await read(store, keys.progress_key(job_id, segment))
-    return stored.map(lambda one: decode(one.payload))
+    return stored.map(lambda value: decode(value.payload))
 
 
 def decode(payload: bytes) -> Progress | None:
-    """Return the record of a payload; None when there is none."""
+    """Decode a progress record; None for an empty payload."""
     if not payload:
         return None
     row, tail = msgpack.unpackb(payload, strict_map_key=False)
@@ -67,7 +69,7 @@
 
 
 def encode(record: Progress) -> bytes:
-    """Return the payload of a record.
+    """Encode a progress record.
 
     The tail is compressed, because every commit writes it again.
     """
@@ -82,7 +84,10 @@
     segment: int,
     edit: ProgressChange,
 ) -> ProgressResult:
-    """Replace a segment's progress record."""
+    """Replace a segment's progress record by what `edit` returns.
+
+    Increments the sequence number of the record.
+    """
 
     def change(payload: bytes) -> bytes | Refused[str]:
         edited = edit(decode(payload))
@@ -92,7 +97,7 @@
 
     key = keys.progress_key(job_id, segment)
     written = await swap(store, key, change)
-    return written.and_then(lambda stored: known_record(stored.payload))
+    return written.and_then(lambda stored: decode_written(stored.payload))
 
 
 async def claim(
@@ -103,16 +108,20 @@
     owner: str,
     may_take_from: Callable[[str], bool],
 ) -> ProgressResult:
-    """Become the owner of an open segment with the next epoch."""
+    """Make `owner` the owner of an open segment, with the next epoch.
 
-    def edit(known: Progress | None) -> Progress | Refused[str]:
-        if known is None:
+    Refused for a closed segment, and for another owner's segment unless
+    `may_take_from` allows it.
+    """
+
+    def edit(current: Progress | None) -> Progress | Refused[str]:
+        if current is None:
             return Progress('open', 1, owner, total)
-        if known.state != 'open':
-            return CLOSED
-        if known.owner and not may_take_from(known.owner):
-            return Refused(f'owned by {known.owner}')
-        return replace(known, epoch=known.epoch + 1, owner=owner)
+        if current.state != 'open':
+            return SEGMENT_CLOSED
+        if current.owner and not may_take_from(current.owner):
+            return Refused(f'owned by {current.owner}')
+        return replace(current, epoch=current.epoch + 1, owner=owner)
 
     return await change_progress(store, job_id, segment, edit)
 
@@ -123,12 +132,15 @@
     segment: int,
     owned: Progress,
 ) -> ProgressResult:
-    """Give up a segment, so that another entry claims it at once."""
+    """Clear the owner of a segment, so that any entry can claim it.
 
-    def edit(known: Progress | None) -> Progress | Refused[str]:
-        if known is None or not is_still_owned(known, owned):
-            return LOST
-        return replace(known, owner='')
+    Refused when the ownership was lost.
+    """
+
+    def edit(current: Progress | None) -> Progress | Refused[str]:
+        if current is None or not is_still_owned(current, owned):
+            return OWNERSHIP_LOST
+        return replace(current, owner='')
 
     return await change_progress(store, job_id, segment, edit)
 
@@ -141,37 +153,37 @@
 ) -> ProgressResult:
     """Close an unfinished segment of a cancelled job.
 
-    A segment that was never claimed gets a closed record, so that a claim
-    under way fails.
+    A segment that was never claimed gets a record too, so that a concurrent
+    claim fails. Refused for a segment that is not open.
     """
 
-    def edit(known: Progress | None) -> Progress | Refused[str]:
-        if known is None:
+    def edit(current: Progress | None) -> Progress | Refused[str]:
+        if current is None:
             return Progress('cancelled', 1, '', total)
-        if known.state != 'open':
-            return CLOSED
+        if current.state != 'open':
+            return SEGMENT_CLOSED
         return replace(
-            known,
+            current,
             state='cancelled',
-            epoch=known.epoch + 1,
+            epoch=current.epoch + 1,
             owner='',
         )
 
     return await change_progress(store, job_id, segment, edit)
 
 
-def known_record(payload: bytes) -> ProgressResult:
-    """Return the record of a payload that was just written."""
+def decode_written(payload: bytes) -> ProgressResult:
+    """Decode a payload that was just written; it can't be empty."""
     record = decode(payload)
     if record is None:
         return Err(KvError('conflict', 'the progress record is empty'))
     return Ok(record)
 
 
-def is_still_owned(known: Progress, owned: Progress) -> bool:
-    """Tell whether a record still belongs to the owner's epoch."""
-    same = (known.epoch, known.owner) == (owned.epoch, owned.owner)
-    return same and known.state == 'open'
+def is_still_owned(current: Progress, owned: Progress) -> bool:
+    """Tell whether a record is open with the same owner and epoch."""
+    same = (current.epoch, current.owner) == (owned.epoch, owned.owner)
+    return same and current.state == 'open'
 
 
 async def commit(
@@ -183,52 +195,63 @@
     tries: dict[int, int],
     pack_name: str,
 ) -> ProgressResult:
-    """Record results on top of the record that the owner last saw.
+    """Append results to `base`, the record that the owner last saw.
 
-    A tail over the limit is written as packs before the record that names
-    them. `pack_name` must be new for each call.
+    Results of items that are finished already are ignored. When the tail
+    exceeds its limit, it is first written as packs, which the new record
+    then names. `pack_name` must be unique for each call. Refused when the
+    ownership was lost or the record was changed.
     """
-    fresh = [one for one in results if not base.is_finished(one.index)]
-    tail = [*base.tail, *fresh]
+    new_results = [
+        result for result in results if not base.is_finished(result.index)
+    ]
+    tail = [*base.tail, *new_results]
     packs: list[str] = []
-    if sum(one.size_bytes for one in tail) > MAX_TAIL_BYTES:
+    if sum(result.size_bytes for result in tail) > MAX_TAIL_BYTES:
         written = await write_packs(store, job_id, segment, pack_name, tail)
         if isinstance(written, Err):
             return Err(written.err_value)
         tail, packs = [], written.ok_value
-    planned = plan_commit(base, fresh, tail, packs, tries)
+    planned = plan_commit(base, new_results, tail, packs, tries)
 
-    def edit(known: Progress | None) -> Progress | Refused[str]:
-        if known is None or not is_still_owned(known, base):
-            return LOST
-        return planned if known.sequence == base.sequence else STALE
+    def edit(current: Progress | None) -> Progress | Refused[str]:
+        if current is None or not is_still_owned(current, base):
+            return OWNERSHIP_LOST
+        return planned if current.sequence == base.sequence else RECORD_CHANGED
 
     return await change_progress(store, job_id, segment, edit)
 
 
 def plan_commit(
     base: Progress,
-    fresh: Sequence[ItemResult],
+    new_results: Sequence[ItemResult],
     tail: list[ItemResult],
     packs: list[str],
     tries: dict[int, int],
 ) -> Progress:
-    """Return the record after a commit; done when every item is finished."""
-    finished = with_bits(base.finished, [one.index for one in fresh])
+    """Return the record that a commit writes.
+
+    Its state is `done` when every item is finished.
+    """
+    finished = mark_finished(
+        base.finished, [result.index for result in new_results]
+    )
     planned = replace(
         base,
         finished=finished,
-        failed=base.failed + sum(one.failed for one in fresh),
+        failed=base.failed + sum(result.failed for result in new_results),
         tail=tail,
         packs=[*base.packs, *packs],
     )
-    left = {
+    remaining_tries = {
         index: count
         for index, count in tries.items()
         if not planned.is_finished(index)
     }
     done = planned.finished_count == planned.total
-    return replace(planned, tries=left, state='done' if done else 'open')
+    return replace(
+        planned, tries=remaining_tries, state='done' if done else 'open'
+    )
 
 
 async def write_packs(
@@ -238,13 +261,13 @@
     pack_name: str,
     results: Sequence[ItemResult],
 ) -> Result[list[str], KvError]:
-    """Write results as packs under the value limit; return their names."""
+    """Write results as packs below the size limit; return their names."""
     names: list[str] = []
     for number, group in enumerate(group_by_size(results)):
         name = f'{pack_name}.{number}'
         packed = zlib.compress(pack_list(group), COMPRESSION_LEVEL)
         key = keys.pack_key(job_id, segment, name)
-        put = await put_once(store, key, packed)
+        put = await put_if_absent(store, key, packed)
         if isinstance(put, Err):
             return put
         names.append(name)
@@ -254,33 +277,33 @@
 def group_by_size(
     results: Sequence[ItemResult],
 ) -> list[list[ItemResult]]:
-    """Split results into groups that fit into one value each."""
+    """Split results, in order, into groups that fit into one value each."""
     groups: list[list[ItemResult]] = [[]]
     size = 0
-    for one in results:
-        size += one.size_bytes
+    for result in results:
+        size += result.size_bytes
         if size > MAX_PACK_BYTES and groups[-1]:
             groups.append([])
-            size = one.size_bytes
-        groups[-1].append(one)
+            size = result.size_bytes
+        groups[-1].append(result)
     return groups
 
 
-async def results_of(
+async def read_results(
     store: KeyValueStore,
     job_id: str,
     segment: int,
     progress: Progress,
 ) -> AsyncIterator[Result[list[ItemResult], KvError]]:
-    """Yield the recorded results of a segment, pack by pack."""
+    """Yield the recorded results of a segment, pack by pack, then the tail."""
     for name in progress.packs:
         found = await store.get(keys.pack_key(job_id, segment, name))
-        yield found.and_then(unpack_pack)
+        yield found.and_then(decode_pack)
     yield Ok(progress.tail)
 
 
-def unpack_pack(record: object) -> Result[list[ItemResult], KvError]:
-    """Return the results of a stored pack."""
+def decode_pack(record: object) -> Result[list[ItemResult], KvError]:
+    """Return the results of a stored pack; fails when it is missing."""
     raw = getattr(record, 'value', None)
     if raw is None:
         return Err(KvError('conflict', 'a result pack is missing'))
--- a/src/quetzaldyke/durable/records.py
+++ b/src/quetzaldyke/durable/records.py
@@ -1,7 +1,7 @@
-"""Records of batch work as they are kept in the key-value service.
+"""Records of batch jobs as they are stored in the key-value service.
 
-Each record is a msgpack array of its fields in order. Fields are only ever
-added at the end and with a default, so that an older record stays readable.
+Each record is a msgpack array of its fields in order. New fields must be
+added at the end and with a default, so that older records stay readable.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 SegmentState = Literal['open', 'done', 'cancelled']
 
 FINAL_STATES: Final = frozenset(('completed', 'cancelled', 'expired'))
-BITS_IN_BYTE: Final = 8
-# Fields of a result besides its texts, packed.
-ROW_BYTES: Final = 40
+BITS_PER_BYTE: Final = 8
+# Approximate packed size of a result without its body, reason and endpoint.
+RESULT_OVERHEAD_BYTES: Final = 40
 
 
 @dataclass(frozen=True, slots=True)
 class SegmentInput:
-    """Input of one segment: where it is and how many items it has."""
+    """Input of one segment: the name of its key and its number of items."""
 
     name: str
     items: int
@@ -43,12 +43,12 @@
     organisation: str
     filename: str
     state: FileState
-    # Part of the input keys, so that an expired upload's segments are never
-    # taken for those of a later upload of the same contents.
-    upload: str
+    # Part of the keys of the input segments, so that segments of an expired
+    # upload are never used for a later upload of the same contents.
+    upload_id: str
     size_bytes: int
     created_ms: int
-    touched_ms: int
+    last_used_ms: int
     input_digest: str
     models: list[str] = field(default_factory=list)
     endpoints: list[str] = field(default_factory=list)
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deadline:
-    """A deadline as given and the instant that it stands for."""
+    """A deadline as given and the instant that it resolves to."""
 
     local: str
     zone: str
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobRecord:
-    """A batch job."""
+    """A batch job; `contents` is the hash of input, endpoint and deadline."""
 
     job_id: str
     organisation: str
@@ -80,7 +80,7 @@
     created_ms: int
     metadata: dict[str, str] = field(default_factory=dict)
     segments: list[SegmentInput] = field(default_factory=list)
-    keyed: bool = False
+    has_idempotency_key: bool = False
     cancelling_ms: int = 0
     finished_ms: int = 0
     completed: int = 0
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ActiveJob:
-    """A job in an active list with the latest figures for its status."""
+    """Row of an active list: a job with its latest progress figures."""
 
     organisation: str
     job_id: str
@@ -110,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemResult:
-    """The one recorded outcome of an item."""
+    """The recorded outcome of an item; it never changes."""
 
     index: int
     status: int
@@ -123,26 +123,35 @@
 
     @property
     def failed(self) -> bool:
-        """Tell whether the item was recorded as failed."""
+        """Tell whether the item failed; a failed one has an error code."""
         return bool(self.code)
 
     @property
     def size_bytes(self) -> int:
-        """Return the approximate stored size."""
+        """Return the approximate size of the packed result."""
         return (
-            len(self.body) + len(self.reason) + len(self.endpoint) + ROW_BYTES
+            len(self.body)
+            + len(self.reason)
+            + len(self.endpoint)
+            + RESULT_OVERHEAD_BYTES
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Progress:
-    """Ownership and results of one segment."""
+    """Ownership and results of one segment.
+
+    `finished` is a bitmap of the items with a recorded result. `tail` holds
+    the latest results; older ones are in the result packs that `packs`
+    names. `tries` counts the tries of unfinished items by index.
+    """
 
     state: SegmentState
     epoch: int
     owner: str
     total: int
-    # Raised by each write: a write planned on an older record is refused.
+    # Incremented by each write; a commit that is based on an older record is
+    # rejected.
     sequence: int = 0
     finished: bytes = b''
     failed: int = 0
@@ -157,49 +166,53 @@
 
     def is_finished(self, index: int) -> bool:
         """Tell whether an item has a recorded result."""
-        position, bit = divmod(index, BITS_IN_BYTE)
+        position, bit = divmod(index, BITS_PER_BYTE)
         if position >= len(self.finished):
             return False
         return bool(self.finished[position] & (1 << bit))
 
 
 RecordT = TypeVar('RecordT')
-LISTED: Final[dict[str, type]] = {
+LIST_FIELD_TYPES: Final[dict[str, type]] = {
     'segments': SegmentInput,
     'tail': ItemResult,
 }
 
 
 def to_row(record: object) -> list[Any]:
-    """Return the array form of a record."""
-    return [plain(getattr(record, name)) for name in names_of(type(record))]
+    """Return the field values of a record as an array."""
+    return [
+        to_plain(getattr(record, name)) for name in field_names(type(record))
+    ]
 
 
-def names_of(record_type: type) -> list[str]:
+def field_names(record_type: type) -> list[str]:
     """Return the field names of a record type in order."""
-    return [one.name for one in fields(record_type)]
+    return [item.name for item in fields(record_type)]
 
 
-def plain(content: object) -> object:
-    """Return a field's content without record classes."""
+def to_plain(content: object) -> object:
+    """Return a field's value with nested records replaced by arrays."""
     match content:
         case Deadline() | SegmentInput() | ItemResult():
             return to_row(content)
         case list():
-            return [plain(one) for one in content]
+            return [to_plain(item) for item in content]
     return content
 
 
 def from_row(record_type: type[RecordT], row: list[Any]) -> RecordT:
-    """Return the record of an array.
+    """Return the record that an array encodes.
+
+    Fields that an older array lacks get their defaults.
 
     >>> from_row(SegmentInput, to_row(SegmentInput('d', 3)))
     SegmentInput(name='d', items=3)
     """
-    named = dict(zip(names_of(record_type), row, strict=False))
-    for name, item_type in LISTED.items():
+    named = dict(zip(field_names(record_type), row, strict=False))
+    for name, item_type in LIST_FIELD_TYPES.items():
         if name in named:
-            named[name] = [from_row(item_type, one) for one in named[name]]
+            named[name] = [from_row(item_type, item) for item in named[name]]
     if 'deadline' in named:
         named['deadline'] = Deadline(*named['deadline'])
     return record_type(**named)
@@ -228,14 +241,14 @@
     return [from_row(record_type, row) for row in rows]
 
 
-def with_bits(finished: bytes, indexes: list[int]) -> bytes:
-    """Return a bitmap with more items marked as finished.
+def mark_finished(finished: bytes, indexes: list[int]) -> bytes:
+    """Return a bitmap with these items marked as finished too.
 
-    >>> with_bits(b'', [0, 9]).hex()
+    >>> mark_finished(b'', [0, 9]).hex()
     '0102'
     """
     bits = int.from_bytes(finished, 'little')
     for index in indexes:
         bits |= 1 << index
-    size = (bits.bit_length() + BITS_IN_BYTE - 1) // BITS_IN_BYTE
+    size = (bits.bit_length() + BITS_PER_BYTE - 1) // BITS_PER_BYTE
     return bits.to_bytes(size, 'little')
--- a/src/quetzaldyke/durable/retention.py
+++ b/src/quetzaldyke/durable/retention.py
@@ -1,7 +1,8 @@
-"""Deletion of jobs, results and files after their retention time.
+"""Deletes jobs, results and files after their retention time.
 
-A job first becomes `expired`, so that readers get a clear answer, and its
-records are deleted afterwards. Every step can be repeated by a later sweep.
+A job is first marked as `expired`, so that readers get a clear error, and
+its records are deleted afterwards. Every step is idempotent: a later sweep
+repeats it after a failure.
 """
 
 from __future__ import annotations
@@ -25,29 +26,31 @@
     Refused,
 )
 
-# Expired jobs answer `expired` for this long, then they are unknown. Within
-# it no other job gets the same id; sidecars remember cancelled ids for days.
-EXPIRED_KEPT_MS: Final = 2_592_000_000  # 30 days
+# Time after a job finished, or a file was last used, for which its record
+# stays as a tombstone. Until then requests get `expired` instead of
+# `not_found` and no other job gets the same id; sidecars remember the ids of
+# cancelled jobs for days.
+TOMBSTONE_RETENTION_MS: Final = 2_592_000_000  # 30 days
 MS_IN_S: Final = 1000
 NOT_DUE: Final = Refused('not due')
-Swept = Result[int, KvError]
+SweepResult = Result[int, KvError]
 
 
 @dataclass(frozen=True, slots=True)
 class Retention:
-    """What one sweep needs to know."""
+    """The store, the retention time and the time of one sweep."""
 
     store: KeyValueStore
     retention_ms: int
     now_ms: int
 
-    def past(self, since_ms: int) -> bool:
+    def has_elapsed(self, since_ms: int) -> bool:
         """Tell whether the retention time has passed since an instant."""
         return since_ms + self.retention_ms <= self.now_ms
 
 
-async def sweep(retention: Retention) -> Swept:
-    """Expire what is due; return the number of jobs and files."""
+async def sweep(retention: Retention) -> SweepResult:
+    """Expire all jobs and files that are due; return how many."""
     listed = await retention.store.list_prefix(keys.JOBS_PREFIX)
     if isinstance(listed, Err):
         return listed
@@ -66,22 +69,25 @@
     retention: Retention,
     job: JobRecord,
     record: Record,
-) -> Swept:
-    """Take one job as far through its expiry as it is due."""
+) -> SweepResult:
+    """Expire, purge or delete one job if it is due; return 1 if it expired.
+
+    Jobs that still run or are being cancelled are skipped.
+    """
     if job.state in {'in_progress', 'cancelling'}:
         return Ok(0)
     if job.purged:
-        if job.finished_ms + EXPIRED_KEPT_MS > retention.now_ms:
+        if job.finished_ms + TOMBSTONE_RETENTION_MS > retention.now_ms:
             return Ok(0)
         deleted = await retention.store.delete_if(record.key, record.revision)
         return deleted.map(lambda _: 0)
-    if not retention.past(job.finished_ms):
+    if not retention.has_elapsed(job.finished_ms):
         return Ok(0)
     marked = await jobs.change_job(
         retention.store,
         job.organisation,
         job.job_id,
-        lambda known: mark_expired(known, job),
+        lambda current: mark_expired(current, job),
     )
     if isinstance(marked, Err):
         error = marked.err_value
@@ -90,41 +96,52 @@
 
 
 def mark_expired(
-    known: JobRecord | None,
+    current: JobRecord | None,
     job: JobRecord,
 ) -> JobRecord | Refused[str]:
-    """Return the expired form of the job that the sweep has seen."""
-    if known is None or known.created_ms != job.created_ms or known.purged:
+    """Return the record as expired.
+
+    Refused when it is not the job that the sweep read, or is purged already.
+    """
+    if (
+        current is None
+        or current.created_ms != job.created_ms
+        or current.purged
+    ):
         return NOT_DUE
-    return replace(known, state='expired')
+    return replace(current, state='expired')
 
 
-async def purge_job(retention: Retention, job: JobRecord) -> Swept:
-    """Delete what an expired job has left behind."""
+async def purge_job(retention: Retention, job: JobRecord) -> SweepResult:
+    """Delete the results of an expired job, its contents key and its pin."""
     store = retention.store
     for number, _ in enumerate(job.segments):
         deleted = await delete_segment(store, job.job_id, number)
         if isinstance(deleted, Err):
             return deleted
-    released = await release_contents(store, job)
+    released = await delete_contents_key(store, job)
     if isinstance(released, Err):
         return released
     unpinned = await files.change_file(
         store,
         job.organisation,
         job.file_id,
-        lambda known: without_job(known, job.job_id),
+        lambda current: without_job(current, job.job_id),
     )
-    if is_fault(unpinned):
-        return Err(KvError('unavailable', 'file'))
+    if is_store_error(unpinned):
+        return Err(
+            KvError('unavailable', 'the file record could not be changed')
+        )
     purged = await jobs.change_job(
         store,
         job.organisation,
         job.job_id,
-        lambda known: mark_purged(known, job),
+        lambda current: mark_purged(current, job),
     )
-    if is_fault(purged):
-        return Err(KvError('unavailable', 'job'))
+    if is_store_error(purged):
+        return Err(
+            KvError('unavailable', 'the job record could not be changed')
+        )
     return Ok(1)
 
 
@@ -133,33 +150,39 @@
     job_id: str,
     number: int,
 ) -> Result[None, KvError]:
-    """Delete the results of one segment; small enough for one listing."""
+    """Delete the results of one segment.
+
+    The packs of a segment are few enough for a single listing.
+    """
     packs = await delete_prefix(store, keys.pack_key(job_id, number, ''))
     if isinstance(packs, Err):
         return packs
     return await delete_key(store, keys.progress_key(job_id, number))
 
 
-def is_fault(changed: Result[object, KvError | Refused[str]]) -> bool:
-    """Tell whether a change failed for another reason than a refusal."""
+def is_store_error(changed: Result[object, KvError | Refused[str]]) -> bool:
+    """Tell whether a change failed with a store error, not a refusal."""
     return isinstance(changed, Err) and isinstance(changed.err_value, KvError)
 
 
 def mark_purged(
-    known: JobRecord | None,
+    current: JobRecord | None,
     job: JobRecord,
 ) -> JobRecord | Refused[str]:
-    """Return the short record that only says that a job has expired."""
-    if known is None or known.created_ms != job.created_ms:
+    """Return the tombstone of a job: its record without segments."""
+    if current is None or current.created_ms != job.created_ms:
         return NOT_DUE
-    return replace(known, segments=[], metadata={}, purged=True)
+    return replace(current, segments=[], metadata={}, purged=True)
 
 
 async def delete_prefix(
     store: KeyValueStore,
     prefix: str,
 ) -> Result[None, KvError]:
-    """Delete all keys with a prefix."""
+    """Delete all keys with a prefix.
+
+    A key that was changed since it was listed is kept.
+    """
     listed = await store.list_prefix(prefix)
     if isinstance(listed, Err):
         return listed
@@ -174,7 +197,7 @@
     store: KeyValueStore,
     key: str,
 ) -> Result[None, KvError]:
-    """Delete one key, whatever its revision."""
+    """Delete a key at its present revision, if it exists."""
     found = await store.get(key)
     if isinstance(found, Err):
         return found
@@ -183,11 +206,14 @@
     return await store.delete_if(key, found.ok_value.revision)
 
 
-async def release_contents(
+async def delete_contents_key(
     store: KeyValueStore,
     job: JobRecord,
 ) -> Result[None, KvError]:
-    """Let the same contents make a new job."""
+    """Delete the key that maps the contents to this job.
+
+    A later request with the same contents then creates a new job.
+    """
     key = keys.contents_key(job.organisation, job.contents)
     found = await store.get(key)
     if isinstance(found, Err):
@@ -204,24 +230,26 @@
 
 
 def without_job(
-    known: FileRecord | None,
+    current: FileRecord | None,
     job_id: str,
 ) -> FileRecord | Refused[str]:
-    """Return a file that a job no longer needs."""
-    if known is None or job_id not in known.jobs:
+    """Return a file's record without the pin of a job."""
+    if current is None or job_id not in current.jobs:
         return NOT_DUE
-    return replace(known, jobs=[one for one in known.jobs if one != job_id])
+    return replace(
+        current, jobs=[pinned for pinned in current.jobs if pinned != job_id]
+    )
 
 
-async def sweep_files(retention: Retention) -> Swept:
-    """Expire files that no job needs."""
+async def sweep_files(retention: Retention) -> SweepResult:
+    """Expire all files that are due and not pinned by a job."""
     listed = await retention.store.list_prefix(keys.FILES_PREFIX)
     if isinstance(listed, Err):
         return listed
     expired = 0
     for record in listed.ok_value:
-        known = unpack(FileRecord, Envelope.unpack(record.value).payload)
-        swept = await sweep_file(retention, known, record)
+        file = unpack(FileRecord, Envelope.unpack(record.value).payload)
+        swept = await sweep_file(retention, file, record)
         if isinstance(swept, Err):
             return swept
         expired += swept.ok_value
@@ -230,42 +258,45 @@
 
 async def sweep_file(
     retention: Retention,
-    known: FileRecord,
+    file: FileRecord,
     record: Record,
-) -> Swept:
-    """Expire one file; its record goes when its inputs are deleted."""
-    if known.jobs or not retention.past(known.touched_ms):
+) -> SweepResult:
+    """Expire one file if it is due, and delete its input segments.
+
+    The record itself is deleted TOMBSTONE_RETENTION_MS after its last use.
+    """
+    if file.jobs or not retention.has_elapsed(file.last_used_ms):
         return Ok(0)
     store = retention.store
     marked = await files.change_file(
         store,
-        known.organisation,
-        known.file_id,
-        lambda latest: expire_file(retention, latest),
+        file.organisation,
+        file.file_id,
+        lambda current: mark_file_expired(retention, current),
     )
     if isinstance(marked, Err):
         error = marked.err_value
         return Ok(0) if isinstance(error, Refused) else Err(error)
-    deleted = await delete_inputs(store, known.upload)
+    deleted = await delete_inputs(store, file.upload_id)
     if isinstance(deleted, Err):
         return deleted
-    if known.touched_ms + EXPIRED_KEPT_MS > retention.now_ms:
-        return Ok(int(known.state != 'expired'))
-    gone = await store.delete_if(record.key, record.revision)
-    return gone.map(lambda _: 0) if isinstance(gone, Ok) else Ok(0)
+    if file.last_used_ms + TOMBSTONE_RETENTION_MS > retention.now_ms:
+        return Ok(int(file.state != 'expired'))
+    removed = await store.delete_if(record.key, record.revision)
+    return removed.map(lambda _: 0) if isinstance(removed, Ok) else Ok(0)
 
 
 async def delete_inputs(
     store: KeyValueStore,
-    upload: str,
+    upload_id: str,
 ) -> Result[None, KvError]:
-    """Delete the input segments of an upload, also of one that broke off.
+    """Delete the input segments of an upload, also of an incomplete one.
 
-    Segments are written in order, so the first missing one is the end.
+    Segments are written in order, so the first missing number is the end.
     """
     number = 0
     while True:
-        prefix = keys.input_key(f'{upload}.{number}.')
+        prefix = keys.input_key(f'{upload_id}.{number}.')
         listed = await store.list_prefix(prefix)
         if isinstance(listed, Err):
             return listed
@@ -277,11 +308,18 @@
         number += 1
 
 
-def expire_file(
+def mark_file_expired(
     retention: Retention,
-    latest: FileRecord | None,
+    current: FileRecord | None,
 ) -> FileRecord | Refused[str]:
-    """Return the expired form of a file that is still not needed."""
-    if latest is None or latest.jobs or not retention.past(latest.touched_ms):
+    """Return the record as expired.
+
+    Refused when a job has pinned the file or it was used since.
+    """
+    if (
+        current is None
+        or current.jobs
+        or not retention.has_elapsed(current.last_used_ms)
+    ):
         return NOT_DUE
-    return replace(latest, state='expired')
+    return replace(current, state='expired')
--- a/src/quetzaldyke/durable/service.py
+++ b/src/quetzaldyke/durable/service.py
@@ -1,7 +1,7 @@
-"""What callers can do with files and jobs, for one entry.
+"""Batch API operations of an entry on files and jobs.
 
-Every call goes to the key-value service and gives the same answer at each
-entry. A refusal says whether the call may have taken effect.
+All state is in the key-value service, so every entry returns the same result
+for a call. An error says whether the operation may have taken effect.
 """
 
 from __future__ import annotations
@@ -29,25 +29,25 @@
 from quetzaldyke.parts.kv import Envelope, KeyValueStore
 from quetzaldyke.version.configuration import Configuration
 
-ENDPOINTS: Final = ('/v1/chat/completions', '/v1/completions')
-DEFAULT_WINDOW: Final = '24h'
+SUPPORTED_ENDPOINTS: Final = ('/v1/chat/completions', '/v1/completions')
+DEFAULT_DEADLINE_TEXT: Final = '24h'
 DEFAULT_WINDOW_MS: Final = 86_400_000
 MAX_BODY_BYTES: Final = 1_048_576
-TOO_MANY: Final = 429
-QUEUE_RETRY_S: Final = 60
+TOO_MANY_REQUESTS: Final = 429
+QUEUE_FULL_RETRY_AFTER_S: Final = 60
 
 
 class ConfigurationHolder(Protocol):
-    """Gives the configuration that is in force."""
+    """Provides the current configuration."""
 
     @property
     def current(self) -> Configuration:
-        """Return the configuration."""
+        """Return the configuration that is in force."""
 
 
 @dataclass(frozen=True, slots=True)
 class JobRequest:
-    """A request for a job as the caller sent it."""
+    """A job request as the caller sent it, not validated."""
 
     organisation: str
     file_id: str
@@ -59,13 +59,17 @@
 
     @property
     def allow_duplicate(self) -> bool:
-        """Tell whether the caller wants the same contents to run again."""
+        """Tell whether the caller asks for another job of equal contents."""
         return self.metadata.get('allow_duplicate') == 'true'
 
 
 @dataclass(frozen=True, slots=True)
 class JobStatus:
-    """A job's record with its latest figures."""
+    """A job's record with its latest progress figures.
+
+    `figures` is None for a job that is not in an active list, and in results
+    that don't read the list.
+    """
 
     job: JobRecord
     figures: ActiveJob | None
@@ -73,7 +77,7 @@
 
     @property
     def late(self) -> bool:
-        """Tell whether the job is, or was, finished past its deadline."""
+        """Tell whether the job finished, or still runs, past its deadline."""
         end_ms = self.job.finished_ms or self.now_ms
         return end_ms > self.job.deadline.instant_ms
 
@@ -81,26 +85,27 @@
 StatusResult = Result[JobStatus, JobError]
 
 
-def not_offered(_job: JobRecord) -> None:
-    """Leave the offer to the next round of the list's coordinator."""
+def ignore_accepted_job(_job: JobRecord) -> None:
+    """Do nothing; the list's coordinator offers the job in its next round."""
 
 
-async def never_stopped(_job: JobRecord) -> bool:
-    """Leave the cancel to the coordinator of the job's list."""
+async def report_not_stopped(_job: JobRecord) -> bool:
+    """Return False, so that the list's coordinator completes the cancel."""
     return False
 
 
 @dataclass(slots=True)
 class JobService:
-    """Batch interface of one entry."""
+    """Batch API of one entry, without its HTTP layer."""
 
     store: KeyValueStore
     holder: ConfigurationHolder
     max_body_bytes: int = MAX_BODY_BYTES
     now_ms: Callable[[], int] = wall_clock_ms
-    stop_everywhere: StopEverywhere = never_stopped
-    # Called for each accepted job, so that its items start at once.
-    on_accepted: Callable[[JobRecord], None] = not_offered
+    stop_everywhere: StopEverywhere = report_not_stopped
+    # Called for each accepted job, so that its items start without waiting
+    # for the next round of the coordinator.
+    on_accepted: Callable[[JobRecord], None] = ignore_accepted_job
 
     async def store_file(
         self,
@@ -109,67 +114,81 @@
         source: BinaryIO,
         size_bytes: int,
     ) -> Result[FileRecord, JobError]:
-        """Check and store an uploaded file of batch items."""
+        """Validate and store an uploaded file of batch items.
+
+        Fails for an invalid file and when the store is unavailable.
+        """
         scanned = await files.scan_file(source, self.max_body_bytes)
         if isinstance(scanned, Err):
             return scanned
-        begun = files.begin_upload(
+        new_record = files.new_upload_record(
             organisation,
             filename,
             size_bytes,
             self.now_ms(),
             scanned.ok_value,
         )
-        return await files.store_upload(self.store, begun, source)
+        return await files.store_upload(self.store, new_record, source)
 
     async def file(
         self,
         organisation: str,
         file_id: str,
     ) -> Result[FileRecord, JobError]:
-        """Return an uploaded file's record."""
+        """Return an uploaded file's record.
+
+        Fails for an unknown, incomplete or expired file.
+        """
         return await files.read_file(self.store, organisation, file_id)
 
     async def create_job(self, request: JobRequest) -> StatusResult:
-        """Accept a job; a resend gets the job of the first request."""
+        """Accept a job; a retried request gets the job of the first one.
+
+        Fails for an unknown file, an invalid request, a reused idempotency
+        key and an organisation over its limit of queued items.
+        """
         found = await self.file(request.organisation, request.file_id)
         if isinstance(found, Err):
             return found
-        checked = self.check_request(request, found.ok_value)
-        if isinstance(checked, Err):
-            return checked
-        new = checked.ok_value
+        validated = self.validate_request(request, found.ok_value)
+        if isinstance(validated, Err):
+            return validated
+        new = validated.ok_value
         accepted = await jobs.accept_job(
             self.store,
             new,
-            partial(self.check_room, new),
+            partial(self.check_queue_limit, new),
             self.now_ms(),
         )
         if isinstance(accepted, Ok):
             self.on_accepted(accepted.ok_value)
         return accepted.map(lambda job: JobStatus(job, None, self.now_ms()))
 
-    def check_request(
+    def validate_request(
         self,
         request: JobRequest,
         file: FileRecord,
     ) -> Result[NewJob, JobError]:
-        """Validate a request for a job."""
-        deadline = self.deadline_of(request)
-        if isinstance(deadline, Err):
-            return refused('invalid_deadline', deadline.err_value)
-        problem = problem_of(request, file, self.holder.current)
+        """Return the new job of a request, or why the request is invalid."""
+        parsed = self.parse_deadline(request)
+        if isinstance(parsed, Err):
+            return invalid_request('invalid_deadline', parsed.err_value)
+        problem = find_job_problem(request, file, self.holder.current)
         if problem:
-            return refused('invalid_job', problem)
-        given = deadline.ok_value
-        text = f'{given.local} {given.zone}' if given.local else DEFAULT_WINDOW
+            return invalid_request('invalid_job', problem)
+        deadline = parsed.ok_value
+        text = (
+            f'{deadline.local} {deadline.zone}'
+            if deadline.local
+            else DEFAULT_DEADLINE_TEXT
+        )
         return Ok(
             NewJob(
                 request.organisation,
                 file,
                 request.endpoint,
                 file.models[0],
-                given,
+                deadline,
                 text,
                 request.idempotency_key,
                 request.metadata,
@@ -177,14 +196,14 @@
             ),
         )
 
-    def deadline_of(self, request: JobRequest) -> Result[Deadline, str]:
-        """Return the deadline; 24 hours from now when none is given."""
+    def parse_deadline(self, request: JobRequest) -> Result[Deadline, str]:
+        """Return the deadline; it defaults to 24 hours from now."""
         if not request.deadline_local:
             return Ok(Deadline('', '', self.now_ms() + DEFAULT_WINDOW_MS))
         return resolve_deadline(request.deadline_local, request.deadline_zone)
 
-    async def check_room(self, new: NewJob) -> Result[None, JobError]:
-        """Refuse a new job over the organisation's limit of queued items."""
+    async def check_queue_limit(self, new: NewJob) -> Result[None, JobError]:
+        """Fail if the job takes the organisation over its queued items."""
         limits = self.holder.current.organisations.get(new.organisation)
         if limits is None:
             return Ok(None)
@@ -198,10 +217,10 @@
             return Ok(None)
         return Err(
             JobError(
-                TOO_MANY,
+                TOO_MANY_REQUESTS,
                 'too_many_items',
-                'the organisation has too many queued items',
-                retry_after_s=QUEUE_RETRY_S,
+                'the organisation is over its limit of queued items',
+                retry_after_s=QUEUE_FULL_RETRY_AFTER_S,
             ),
         )
 
@@ -210,7 +229,7 @@
         organisation: str,
         job_id: str,
     ) -> Result[JobRecord, JobError]:
-        """Return a job's record."""
+        """Return a job's record; fails for an unknown or expired job."""
         found = await jobs.read_job(self.store, organisation, job_id)
         if isinstance(found, Err):
             return Err(errors.store_error(found.err_value))
@@ -221,7 +240,7 @@
         return Ok(found.ok_value)
 
     async def status(self, organisation: str, job_id: str) -> StatusResult:
-        """Return a job's state, counts, estimate and risk."""
+        """Return a job's record and progress figures."""
         found = await self.job(organisation, job_id)
         if isinstance(found, Err):
             return found
@@ -230,7 +249,7 @@
         if isinstance(listed, Err):
             return Err(errors.store_error(listed.err_value))
         figures = next(
-            (one for one in listed.ok_value if one.job_id == job_id),
+            (row for row in listed.ok_value if row.job_id == job_id),
             None,
         )
         return Ok(JobStatus(found.ok_value, figures, self.now_ms()))
@@ -240,7 +259,10 @@
         organisation: str,
         limit: int,
     ) -> Result[list[JobStatus], JobError]:
-        """Return the newest jobs of an organisation."""
+        """Return up to `limit` jobs of an organisation, newest first.
+
+        Expired jobs are left out, and progress figures are not read.
+        """
         listed = await self.store.list_prefix(keys.job_key(organisation, ''))
         if isinstance(listed, Err):
             return Err(errors.store_error(listed.err_value))
@@ -254,31 +276,32 @@
         return Ok([JobStatus(job, None, now_ms) for job in present[:limit]])
 
     async def cancel(self, organisation: str, job_id: str) -> StatusResult:
-        """Cancel a job and report how far the cancel is.
+        """Cancel a job and return its state.
 
-        The coordinator of the job's list completes what is not complete
-        when this call returns.
+        A job that is still `cancelling` when this returns is completed by
+        the coordinator of its list. A finished job is returned unchanged.
         """
-        begun = await jobs.begin_cancel(
+        changed = await jobs.begin_cancel(
             self.store,
             organisation,
             job_id,
             self.now_ms(),
         )
-        if isinstance(begun, Err):
-            return begun
-        job = begun.ok_value
+        if isinstance(changed, Err):
+            return changed
+        job = changed.ok_value
         if job.state == 'expired':
             return Err(errors.expired('job'))
         if job.state == 'cancelling':
-            driven = await advance_cancel(
+            advanced = await advance_cancel(
                 self.store,
                 job,
                 self.stop_everywhere,
                 self.now_ms,
             )
-            # The cancel is durable; the job's state says how far it is.
-            job = driven.unwrap_or(job)
+            # The cancel is already stored, so an error is not reported; the
+            # state tells the caller whether the cancel is complete.
+            job = advanced.unwrap_or(job)
         return Ok(JobStatus(job, None, self.now_ms()))
 
     async def results(
@@ -287,7 +310,10 @@
         job_id: str,
         failed: bool = False,
     ) -> Result[AsyncIterator[bytes], JobError]:
-        """Return the recorded results as lines, or the failed items."""
+        """Return the lines of the output file, or of the error file.
+
+        `failed` selects the items that were recorded as failed.
+        """
         found = await self.job(organisation, job_id)
         return found.map(
             lambda job: output.result_lines(self.store, job, failed),
@@ -298,18 +324,21 @@
         organisation: str,
         file_id: str,
     ) -> Result[AsyncIterator[bytes], JobError]:
-        """Return the items of an uploaded file as lines."""
+        """Return the items of an uploaded file as JSON lines."""
         found = await self.file(organisation, file_id)
         return found.map(lambda record: output.item_lines(self.store, record))
 
 
-def refused(code: str, message: str) -> Err[JobError]:
-    """Return the refusal of an invalid request."""
+def invalid_request(code: str, message: str) -> Err[JobError]:
+    """Return the error of an invalid request."""
     return Err(JobError(errors.BAD_REQUEST, code, message))
 
 
 def queued_items(listed: list[ActiveJob], new: NewJob) -> int:
-    """Return the unfinished items of the organisation's other jobs."""
+    """Return the unfinished items of the organisation's other jobs.
+
+    The new job itself is skipped, since a retry may find it listed.
+    """
     return sum(
         max(0, row.items - row.finished)
         for row in listed
@@ -317,34 +346,34 @@
     )
 
 
-def problem_of(
+def find_job_problem(
     request: JobRequest,
     file: FileRecord,
     configuration: Configuration,
 ) -> str:
-    """Return why a job can't be accepted; empty when it can."""
-    if request.endpoint not in ENDPOINTS:
-        return f'endpoint must be one of {", ".join(ENDPOINTS)}'
+    """Return why a job request is invalid; empty when it is valid."""
+    if request.endpoint not in SUPPORTED_ENDPOINTS:
+        return f'endpoint must be one of {", ".join(SUPPORTED_ENDPOINTS)}'
     if file.endpoints != [request.endpoint]:
-        return f'the items are for {", ".join(file.endpoints)}'
+        return f'the items of the file are for {", ".join(file.endpoints)}'
     if len(file.models) != 1:
         return 'all items of a job must name the same model'
-    return pool_problem(file.models[0], configuration.pools) or (
-        duplicate_problem(request)
+    return find_model_problem(file.models[0], configuration.pools) or (
+        find_duplicate_problem(request)
     )
 
 
-def pool_problem(model: str, pools: Mapping[str, object]) -> str:
-    """Return why a model can't run a job."""
+def find_model_problem(model: str, pools: Mapping[str, object]) -> str:
+    """Return why a model can't run a job; empty when it can."""
     return '' if model in pools else f'unknown model {model!r}'
 
 
-def duplicate_problem(request: JobRequest) -> str:
-    """Return why a duplicate can't be asked for.
+def find_duplicate_problem(request: JobRequest) -> str:
+    """Return why a request for a duplicate is invalid; empty if valid.
 
-    Without a key a resend of the request could not be told from a wish for
-    one more job.
+    Without an idempotency key, a retry can't be distinguished from a request
+    for another job.
     """
     if request.allow_duplicate and not request.idempotency_key:
-        return 'allow_duplicate needs an Idempotency-Key'
+        return 'allow_duplicate requires an Idempotency-Key header'
     return ''
--- a/src/quetzaldyke/process/batch_commit.py
+++ b/src/quetzaldyke/process/batch_commit.py
@@ -61,9 +61,9 @@
         if isinstance(written, Ok):
             segment.settle(written.ok_value, self.now_s())
             return 'done' if written.ok_value.state == 'done' else 'open'
-        if written.err_value == progress.LOST:
+        if written.err_value == progress.OWNERSHIP_LOST:
             return 'lost'
-        if written.err_value == progress.STALE:
+        if written.err_value == progress.RECORD_CHANGED:
             # An earlier write whose answer was lost has taken effect.
             return await self.confirm(segment)
         return 'retry'
--- a/tests/batch_bed.py
+++ b/tests/batch_bed.py
@@ -22,7 +22,7 @@
 import pytest
 from anyio import to_thread
 
-from batch_store import StoreClient, SharedStore
+from batch_store import SharedStore, StoreClient
 from quetzaldyke.connection import messages as m
 from quetzaldyke.connection.codec import from_row, to_row
 from quetzaldyke.durable import keys
@@ -270,11 +270,11 @@
 
     def pause(self) -> None:
         """Stop the process: timers, messages and store calls."""
-        self.gate = self.client.gate = anyio.Event()
+        self.gate = self.client.resume_event = anyio.Event()
 
     def resume(self) -> None:
         """Let the process go on where it was."""
-        gate, self.gate, self.client.gate = self.gate, None, None
+        gate, self.gate, self.client.resume_event = self.gate, None, None
         assert gate is not None
         gate.set()
 
--- a/tests/batch_store.py
+++ b/tests/batch_store.py
@@ -1,4 +1,7 @@
-"""Key-value store for batch tests: counts, faults and a history of writes."""
+"""In-memory key-value store for batch tests.
+
+It counts writes, reports them to observers and injects faults.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 
 @dataclass
 class SharedStore:
-    """The one copy of the data that all clients see."""
+    """The data of the store, shared by all clients."""
 
     records: dict[str, Record] = field(default_factory=dict)
     revision: int = 0
@@ -25,9 +28,9 @@
     observers: list[Observer] = field(default_factory=list)
 
     def apply(self, key: str, value: bytes, revision: int) -> KvError | int:
-        """Write one key if its revision is as given."""
-        known = self.records.get(key)
-        if (known.revision if known else 0) != revision:
+        """Write a key if its revision is `revision`; return the new one."""
+        current = self.records.get(key)
+        if (current.revision if current else 0) != revision:
             return KvError('conflict')
         if len(value) > 1_000_000:
             return KvError('too_large')
@@ -43,34 +46,36 @@
 class StoreClient:
     """Connection of one entry to the store, with its own faults.
 
-    Batch work uses neither leases nor watches.
+    Leases and watches are left out, since batch jobs use neither.
     """
 
     shared: SharedStore
     rng: random.Random = field(default_factory=lambda: random.Random(0))
     down: bool = False
     fault_rate: float = 0.0
-    gate: anyio.Event | None = None
-    # Fates of the next writes: 'ok', 'lost', 'dropped', 'lost and down'.
-    script: list[str] = field(default_factory=list)
-
-    async def enter(self) -> KvError | None:
-        """Wait for the network and for a paused process."""
+    resume_event: anyio.Event | None = None
+    # Outcomes of the next writes. 'lost': applied, but the answer is lost;
+    # 'dropped': not applied, with an unknown outcome; 'lost and down': lost,
+    # and the store stays unavailable to this client; 'ok': no fault.
+    write_outcomes: list[str] = field(default_factory=list)
+
+    async def before_call(self) -> KvError | None:
+        """Delay a call by the network latency and while the process is paused."""
         await anyio.sleep(0.001 + self.rng.random() * 0.004)
-        while self.gate is not None:
-            await self.gate.wait()
+        while self.resume_event is not None:
+            await self.resume_event.wait()
         if self.down or self.rng.random() < self.fault_rate / 2:
             return KvError('unavailable')
         return None
 
     async def get(self, key: str) -> Result[Record | None, KvError]:
         """Read one key."""
-        failed = await self.enter()
+        failed = await self.before_call()
         return Err(failed) if failed else Ok(self.shared.records.get(key))
 
     async def list_prefix(self, prefix: str) -> Result[list[Record], KvError]:
         """Read all keys with a prefix."""
-        failed = await self.enter()
+        failed = await self.before_call()
         if failed:
             return Err(failed)
         found = sorted(self.shared.records.items())
@@ -83,18 +88,18 @@
         revision: int,
         lease_id: int = 0,
     ) -> Result[int, KvError]:
-        """Write, with an answer that may get lost."""
-        failed = await self.enter()
+        """Write a key; the write or its answer may get lost."""
+        failed = await self.before_call()
         if failed:
             return Err(failed)
-        fate = self.script.pop(0) if self.script else 'ok'
+        outcome = self.write_outcomes.pop(0) if self.write_outcomes else 'ok'
         if self.rng.random() < self.fault_rate:
-            fate = self.rng.choice(('lost', 'dropped'))
-        if fate == 'dropped':
+            outcome = self.rng.choice(('lost', 'dropped'))
+        if outcome == 'dropped':
             return Err(KvError('unknown'))
         applied = self.shared.apply(key, value, revision)
-        self.down = self.down or fate == 'lost and down'
-        if fate in {'lost', 'lost and down'}:
+        self.down = self.down or outcome == 'lost and down'
+        if outcome in {'lost', 'lost and down'}:
             return Err(KvError('unknown'))
         return Err(applied) if isinstance(applied, KvError) else Ok(applied)
 
@@ -103,12 +108,12 @@
         key: str,
         revision: int,
     ) -> Result[None, KvError]:
-        """Delete one key."""
-        failed = await self.enter()
+        """Delete a key if its revision is `revision`."""
+        failed = await self.before_call()
         if failed:
             return Err(failed)
-        known = self.shared.records.get(key)
-        if known is None or known.revision != revision:
+        current = self.shared.records.get(key)
+        if current is None or current.revision != revision:
             return Err(KvError('conflict'))
         self.shared.records.pop(key)
         return Ok(None)
--- a/tests/test_batch_durable.py
+++ b/tests/test_batch_durable.py
@@ -1,4 +1,4 @@
-"""Properties of acceptance, progress records and deadlines."""
+"""Tests acceptance of jobs, progress records, deadlines and retention."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from result import Err
 
 from batch_bed import CONFIG, ENDPOINT, jsonl
-from batch_store import StoreClient, SharedStore
+from batch_store import SharedStore, StoreClient
 from quetzaldyke.durable import keys, progress, retention
 from quetzaldyke.durable.active import read_active
 from quetzaldyke.durable.deadlines import resolve_deadline
@@ -30,7 +30,7 @@
 from quetzaldyke.durable.service import JobRequest, JobService
 from quetzaldyke.parts import kv
 
-FATES = st.lists(
+WRITE_OUTCOMES = st.lists(
     st.sampled_from(('ok', 'lost', 'dropped', 'lost and down')),
     max_size=4,
 )
@@ -38,7 +38,7 @@
 
 
 def run(step: Callable[[], Coroutine[Any, Any, Any]]) -> Any:
-    """Run one step; pauses between retries pass at once."""
+    """Run one step without pauses between retries."""
     previous = kv.RETRY_PAUSE_S
     try:
         kv.RETRY_PAUSE_S = 0  # type: ignore[misc]
@@ -47,33 +47,33 @@
         kv.RETRY_PAUSE_S = previous  # type: ignore[misc]
 
 
-class QuickClient(StoreClient):
-    """Client without a network delay."""
+class UndelayedClient(StoreClient):
+    """Client without network latency or pauses."""
 
-    async def enter(self) -> kv.KvError | None:
+    async def before_call(self) -> kv.KvError | None:
         """Fail at once while the service is down."""
         return kv.KvError('unavailable') if self.down else None
 
 
-def quick(shared: SharedStore) -> Any:
-    """Return a client; batch work needs only a part of the protocol."""
-    return QuickClient(shared)
+def make_client(shared: SharedStore) -> Any:
+    """Return a client as `Any`: it lacks leases and watches."""
+    return UndelayedClient(shared)
 
 
 def make_service(shared: SharedStore, now_ms: list[int]) -> Any:
     """Return the service of one entry."""
     return JobService(
-        quick(shared),
+        make_client(shared),
         SimpleNamespace(current=CONFIG),
         now_ms=lambda: now_ms[0],
     )
 
 
 class Acceptance(RuleBasedStateMachine):
-    """Callers send and resend jobs through two entries with faults.
+    """Callers send and retry jobs through two entries with faults.
 
-    Guards against a second job for a resend, and against an acknowledged
-    job that nobody runs.
+    Guards against a second job for a retry, and against an acknowledged job
+    that no entry runs because it is in no active list.
     """
 
     @initialize()
@@ -85,8 +85,8 @@
         self.files = [self.upload(['a']), self.upload(['b'])]
         self.by_contents: dict[tuple[int, str], str] = {}
         self.by_key: dict[str, tuple[tuple[int, str], str]] = {}
-        # Keys that were sent with the wish for a duplicate.
-        self.duplicating: set[str] = set()
+        # Idempotency keys that were sent with allow_duplicate.
+        self.duplicate_keys: set[str] = set()
 
     def upload(self, prompts: list[str]) -> str:
         """Store a file without faults."""
@@ -103,7 +103,7 @@
         key=st.sampled_from(('', 'k1', 'k2', 'k3')),
         hour=st.sampled_from(('18', '19')),
         duplicate=st.booleans(),
-        fates=FATES,
+        outcomes=WRITE_OUTCOMES,
     )
     def create(
         self,
@@ -112,13 +112,13 @@
         key: str,
         hour: str,
         duplicate: bool,
-        fates: list[str],
+        outcomes: list[str],
     ) -> None:
-        """Send a job; an unclear answer is no acknowledgement."""
+        """Send a job; check it if the answer acknowledges it."""
         service = self.services[entry]
         duplicate = duplicate and key != ''
         if duplicate:
-            self.duplicating.add(key)
+            self.duplicate_keys.add(key)
         request = JobRequest(
             'barf',
             self.files[file],
@@ -128,9 +128,9 @@
             'Asia/Karachi',
             {'allow_duplicate': 'true'} if duplicate else {},
         )
-        service.store.script = list(fates)
+        service.store.write_outcomes = list(outcomes)
         created = run(lambda: service.create_job(request))
-        service.store.script = []
+        service.store.write_outcomes = []
         service.store.down = False
         if not isinstance(created, Err):
             job_id = created.ok_value.job.job_id
@@ -143,31 +143,31 @@
         key: str,
         duplicate: bool,
     ) -> None:
-        """Compare an acknowledged job with all earlier ones."""
+        """Check an acknowledged job against all earlier ones."""
         if key in self.by_key:
             assert self.by_key[key] == (contents, job_id)
-        elif not duplicate and not self.has_own(key, job_id):
+        elif not duplicate and not self.created_duplicate(key, job_id):
             assert self.by_contents.setdefault(contents, job_id) == job_id
         if key:
-            self.remember(key, contents, job_id)
+            self.record_key(key, contents, job_id)
         assert f'jobs/barf/{job_id}' in self.shared.records
         number = keys.active_list_of(job_id)
-        client = quick(self.shared)
+        client = make_client(self.shared)
         listed = run(lambda: read_active(client, number)).unwrap()
         assert [one.job_id for one in listed].count(job_id) == 1
 
-    def has_own(self, key: str, job_id: str) -> bool:
-        """Tell whether an unclear earlier request made a duplicate."""
+    def created_duplicate(self, key: str, job_id: str) -> bool:
+        """Tell whether an unacknowledged request created a duplicate."""
         own = job_id == keys.job_id_of('barf', key, '')
-        return own and key in self.duplicating
+        return own and key in self.duplicate_keys
 
-    def remember(
+    def record_key(
         self,
         key: str,
         contents: tuple[int, str],
         job_id: str,
     ) -> None:
-        """Remember a key that has a job of its own."""
+        """Record an idempotency key whose job id is derived from it."""
         if job_id == keys.job_id_of('barf', key, ''):
             self.by_key[key] = (contents, job_id)
 
@@ -175,7 +175,7 @@
 class ProgressRecord(RuleBasedStateMachine):
     """Owners claim, commit, release and cancel one segment with faults.
 
-    Guards against results that are lost, doubled or changed, and against
+    Guards against results that are lost, duplicated or changed, and against
     writes of former owners.
     """
 
@@ -185,24 +185,24 @@
     def start(self) -> None:
         """Begin with two owners and no record."""
         self.shared = SharedStore()
-        self.clients = [quick(self.shared) for _ in range(2)]
+        self.clients = [make_client(self.shared) for _ in range(2)]
         self.owned: dict[int, Progress] = {}
         self.recorded: dict[int, ItemResult] = {}
         self.closed = False
         self.count = 0
 
-    def step(self, owner: int, fates: list[str], call: Any) -> Any:
-        """Make one call with the given fates of its writes."""
+    def step(self, owner: int, outcomes: list[str], call: Any) -> Any:
+        """Make one call with the given outcomes of its writes."""
         client = self.clients[owner]
-        client.script = list(fates)
+        client.write_outcomes = list(outcomes)
         outcome = run(lambda: call(client))
-        client.script = []
+        client.write_outcomes = []
         client.down = False
         return outcome
 
-    @rule(owner=st.integers(0, 1), steal=st.booleans(), fates=FATES)
-    def claim(self, owner: int, steal: bool, fates: list[str]) -> None:
-        """Claim the segment; only a thief takes it from another."""
+    @rule(owner=st.integers(0, 1), steal=st.booleans(), outcomes=WRITE_OUTCOMES)
+    def claim(self, owner: int, steal: bool, outcomes: list[str]) -> None:
+        """Claim the segment; `steal` allows taking it from its owner."""
         name = str(owner)
 
         def call(client: Any) -> Any:
@@ -210,7 +210,7 @@
                 client, 'j', 0, self.total, name, lambda held: steal
             )
 
-        claimed = self.step(owner, fates, call)
+        claimed = self.step(owner, outcomes, call)
         if not isinstance(claimed, Err):
             assert claimed.ok_value.owner == name
             self.owned[owner] = claimed.ok_value
@@ -219,16 +219,16 @@
         owner=st.integers(0, 1),
         indexes=st.sets(st.integers(0, 5), min_size=1),
         large=st.booleans(),
-        fates=FATES,
+        outcomes=WRITE_OUTCOMES,
     )
     def commit(
         self,
         owner: int,
         indexes: set[int],
         large: bool,
-        fates: list[str],
+        outcomes: list[str],
     ) -> None:
-        """Commit results as this owner knows the record."""
+        """Commit results on the record as this owner last saw it."""
         if owner not in self.owned:
             return
         self.count += 1
@@ -240,38 +240,38 @@
             name = f'{base.epoch}.{self.count}'
             return progress.commit(client, 'j', 0, base, results, {}, name)
 
-        written = self.step(owner, fates, call)
+        written = self.step(owner, outcomes, call)
         if not isinstance(written, Err):
             assert not self.closed
             self.owned[owner] = written.ok_value
 
-    @rule(owner=st.integers(0, 1), fates=FATES)
-    def release(self, owner: int, fates: list[str]) -> None:
-        """Give the segment up."""
+    @rule(owner=st.integers(0, 1), outcomes=WRITE_OUTCOMES)
+    def release(self, owner: int, outcomes: list[str]) -> None:
+        """Release the segment."""
         if owner in self.owned:
             base = self.owned.pop(owner)
             self.step(
                 owner,
-                fates,
+                outcomes,
                 lambda client: progress.release(client, 'j', 0, base),
             )
 
-    @rule(fates=FATES)
-    def cancel(self, fates: list[str]) -> None:
+    @rule(outcomes=WRITE_OUTCOMES)
+    def cancel(self, outcomes: list[str]) -> None:
         """Close the segment."""
         closed = self.step(
             0,
-            fates,
+            outcomes,
             lambda client: progress.close_cancelled(client, 'j', 0, self.total),
         )
         self.closed = self.closed or not isinstance(closed, Err)
 
     @invariant()
     def recorded_results_stay(self) -> None:
-        """Compare the stored results with all that were ever seen."""
+        """Check that no result that was ever stored is lost or changed."""
         if not hasattr(self, 'clients'):
             return
-        client = quick(self.shared)
+        client = make_client(self.shared)
 
         async def read_all() -> dict[int, ItemResult]:
             found = await progress.read_progress(client, 'j', 0)
@@ -279,7 +279,7 @@
             if record is None:
                 return {}
             rows: list[ItemResult] = []
-            parts = progress.results_of(client, 'j', 0, record)
+            parts = progress.read_results(client, 'j', 0, record)
             async for part in parts:
                 rows.extend(part.unwrap())
             assert len(rows) == len({row.index for row in rows})
@@ -344,16 +344,16 @@
     ],
 )
 def test_invalid_deadlines_are_refused(local: str, zone: str) -> None:
-    """Guards against a fault, or a guess, for a deadline that has none."""
+    """Guards against a crash, or a guessed instant, for a bad deadline."""
     assert isinstance(resolve_deadline(local, zone), Err)
 
 
 @pytest.mark.parametrize(
-    ('fates', 'down', 'ran'),
+    ('outcomes', 'down', 'ran'),
     [([], True, 'not_run'), (['dropped'] * 99, False, 'unknown')],
 )
 def test_refusals_in_an_outage_are_true(
-    fates: list[str],
+    outcomes: list[str],
     down: bool,
     ran: str,
 ) -> None:
@@ -365,7 +365,7 @@
         source = io.BytesIO(jsonl(['a']))
         stored = (await service.store_file('barf', 'f', source, 1)).unwrap()
         service.store.down = down
-        service.store.script = list(fates)
+        service.store.write_outcomes = list(outcomes)
         request = JobRequest('barf', stored.file_id, ENDPOINT)
         return await service.create_job(request)
 
@@ -374,7 +374,10 @@
 
 
 def test_results_expire_and_the_contents_can_run_again() -> None:
-    """Guards against records kept for ever and a job lost by its expiry."""
+    """Guards against records that are never deleted.
+
+    Guards also against contents that can't run again after expiry.
+    """
     shared = SharedStore()
     now_ms = [10_000_000]
     service = make_service(shared, now_ms)
@@ -388,7 +391,7 @@
         file_id = await upload()
         request = JobRequest('barf', file_id, ENDPOINT)
         job_id = (await service.create_job(request)).unwrap().job.job_id
-        service.stop_everywhere = yes
+        service.stop_everywhere = confirm_stopped
         cancelled = (await service.cancel('barf', job_id)).unwrap()
         assert cancelled.job.state == 'cancelled'
         for passed_ms, expired in ((HOUR_MS, False), (HOUR_MS, True)):
@@ -411,14 +414,14 @@
     run(step)
 
 
-async def yes(_: object) -> bool:
-    """Say that every process has stopped."""
+async def confirm_stopped(_: object) -> bool:
+    """Confirm that every process has stopped."""
     return True
 
 
 @given(sizes=st.lists(st.sampled_from((10, 400_000, 800_000)), max_size=9))
 def test_packs_stay_under_the_value_limit(sizes: list[int]) -> None:
-    """Guards against results that the store refuses for their size."""
+    """Guards against result packs that the store rejects as too large."""
     results = [
         ItemResult(index, 200, b'x' * size) for index, size in enumerate(sizes)
     ]
--- a/tests/test_batch_rules.py
+++ b/tests/test_batch_rules.py
@@ -1,4 +1,4 @@
-"""Rules of running jobs: tries, preemption, cancel, outages, stops."""
+"""Tests running jobs: tries, preemption, cancels, outages, shutdown."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 def progress_of(bed: Bed, job_id: str, segment: int = 0) -> Progress:
-    """Return a segment's record as it is stored."""
+    """Return a segment's stored progress record."""
     record = bed.shared.records[keys.progress_key(job_id, segment)]
     found = decode(Envelope.unpack(record.value).payload)
     assert found is not None
     return found
 
 
-async def claimed(bed: Bed, job_id: str) -> str:
+async def wait_for_owner(bed: Bed, job_id: str) -> str:
     """Wait until the first segment runs; return its owner."""
     key = keys.progress_key(job_id, 0)
     await bed.wait(
@@ -36,8 +36,8 @@
     return progress_of(bed, job_id).owner
 
 
-def test_items_that_can_not_be_done_are_recorded_with_a_reason() -> None:
-    """Guards against a never-doable item that holds its job up."""
+def test_items_that_always_fail_are_recorded_with_a_reason() -> None:
+    """Guards against an item that always fails and blocks its job."""
     prompts = ['BREAK', 'INVALID', *prompts_of(60)]
 
     async def body(bed: Bed) -> None:
@@ -55,7 +55,7 @@
 
 
 def test_preempted_items_resume_and_are_not_a_try() -> None:
-    """Guards against items that fail, or start over, because of bursts."""
+    """Guards against items that fail or restart when bursts preempt them."""
     prompts = prompts_of(100)
 
     async def body(bed: Bed) -> None:
@@ -81,12 +81,12 @@
 
 
 def test_writes_of_an_owner_that_resumes_lose() -> None:
-    """Guards against a paused owner that records over its successor."""
+    """Guards against a paused owner that overwrites its successor's results."""
     prompts = prompts_of(400)
 
     async def body(bed: Bed) -> None:
         job_id = await bed.submit(prompts)
-        owner = await claimed(bed, job_id)
+        owner = await wait_for_owner(bed, job_id)
         old = bed.entries[owner]
         segment = old.parts.worker.segments[job_id, 0]
         await bed.wait(lambda: len(segment.held) > 0, 30)
@@ -107,12 +107,12 @@
 
 
 def test_cancel_is_resumed_when_the_canceller_dies() -> None:
-    """Guards against a job that stays half cancelled."""
+    """Guards against a job that stays `cancelling` after a crash."""
     prompts = prompts_of(1000)
 
     async def body(bed: Bed) -> None:
         job_id = await bed.submit(prompts)
-        await claimed(bed, job_id)
+        await wait_for_owner(bed, job_id)
         bed.sidecars['sidecar-0'].mute = True
         await bed.service().cancel('barf', job_id)
         assert bed.job(job_id).state == 'cancelling'
@@ -130,13 +130,13 @@
 ) -> None:
     """Guards against a false acknowledgement of a cancel.
 
-    An entry that has not heard of the cancel could start an item at a
+    An entry that has not received the cancel could start an item at a
     sidecar that joins later.
     """
 
     async def body(bed: Bed) -> None:
         job_id = await bed.submit(prompts_of(1000))
-        await claimed(bed, job_id)
+        await wait_for_owner(bed, job_id)
         if silent == 'entry-1':
             bed.disconnect(silent, listed=True)
         else:
@@ -157,13 +157,13 @@
 
 
 def test_outage_holds_results_up_to_the_memory_bound() -> None:
-    """Guards against lost results, and against memory without a bound."""
+    """Guards against lost results and unbounded memory in an outage."""
     prompts = prompts_of(1000)
     bound = 20_000
 
     async def body(bed: Bed) -> None:
         job_id = await bed.submit(prompts)
-        await claimed(bed, job_id)
+        await wait_for_owner(bed, job_id)
         workers = [one.parts.worker for one in bed.entries.values()]
         for entry in bed.entries.values():
             entry.client.down = True
@@ -172,7 +172,7 @@
         await anyio.sleep(30)
         full = [one for one in workers if one.held_bytes() >= bound]
         assert full
-        # What was running when the bound was reached still ends.
+        # Items that were running when the bound was reached still finish.
         assert all(one.held_bytes() < 1.5 * bound for one in workers)
         running = [one.segments.values() for one in full]
         assert not any(seg.running for part in running for seg in part)
@@ -188,22 +188,22 @@
 
 
 def test_planned_stop_hands_segments_over() -> None:
-    """Guards against results and items that a stopping entry loses."""
+    """Guards against results and items lost by a planned shutdown."""
     prompts = prompts_of(600)
 
     async def body(bed: Bed) -> None:
         job_id = await bed.submit(prompts)
-        owner = await claimed(bed, job_id)
+        owner = await wait_for_owner(bed, job_id)
         await anyio.sleep(3)
         entry = bed.entries[owner]
         segment = entry.parts.worker.segments[job_id, 0]
         await bed.wait(lambda: len(segment.held) > 10, 30)
-        known = set(segment.held) | set(segment.running)
+        pending = set(segment.held) | set(segment.running)
         entry.process.stopping.set()
         await batch_part.stop(entry.process)
         record = progress_of(bed, job_id)
         assert record.owner != owner
-        assert known and all(record.is_finished(one) for one in known)
+        assert pending and all(record.is_finished(one) for one in pending)
         assert not entry.parts.worker.segments
         bed.kill(owner)
         await bed.finished(job_id)
@@ -212,7 +212,7 @@
     scenario(body)
 
 
-def test_late_job_goes_on_and_is_at_risk_and_late() -> None:
+def test_late_job_continues_and_is_at_risk_and_late() -> None:
     """Guards against a job that is dropped at its deadline."""
     prompts = prompts_of(1000)
 
@@ -236,18 +236,19 @@
 
 
 @pytest.mark.parametrize('stale', ['grant', 'ownership'])
-def test_nothing_starts_on_doubtful_ownership(stale: str) -> None:
-    """Guards against starts by an owner that was paused meanwhile."""
+def test_nothing_starts_on_unconfirmed_ownership(stale: str) -> None:
+    """Guards against items started by an owner that was just paused."""
 
     async def body(bed: Bed) -> None:
         job_id = await bed.submit(prompts_of(1000))
-        owner = await claimed(bed, job_id)
+        owner = await wait_for_owner(bed, job_id)
         entry = bed.entries[owner]
         worker = entry.parts.worker
         entry.pause()
         await anyio.sleep(3.5)
         if stale == 'ownership':
-            # The tick after the pause has run, the records are not read.
+            # The first tick after the pause has run, but the records have not
+            # been read again.
             worker.last_alive_s = anyio.current_time()
             for segment in worker.segments.values():
                 segment.confirmed = False
@@ -261,14 +262,14 @@
     scenario(body)
 
 
-def test_refused_item_does_not_hold_others_up() -> None:
-    """Guards against a queue that is blocked by its first item."""
+def test_refused_item_does_not_block_others() -> None:
+    """Guards against head-of-line blocking by a refused item."""
     prompts = ['REFUSED', *prompts_of(20)]
 
     async def body(bed: Bed) -> None:
         bed.sidecars['sidecar-0'].slots = 1
         job_id = await bed.submit(prompts)
-        await claimed(bed, job_id)
+        await wait_for_owner(bed, job_id)
         await bed.wait(
             lambda: progress_of(bed, job_id).finished_count == 20, 90
         )
@@ -279,11 +280,12 @@
 
 
 def test_jobs_with_less_slack_finish_first() -> None:
-    """Guards against a deadline that is missed for a job due later."""
+    """Guards against a missed deadline in favour of a job due later."""
     due = {'b': '2031', 'c': '2033', 'a': '2032', 'd': '2030'}
 
     async def body(bed: Bed) -> None:
-        # No room until all four wait: the first job would start alone.
+        # No slots until all four jobs wait; otherwise the first one would
+        # start alone.
         slots = {name: one.slots for name, one in bed.sidecars.items()}
         for sidecar in bed.sidecars.values():
             sidecar.slots = 0
