--- a/src/quetzaldyke/gateway/crashes.py
+++ b/src/quetzaldyke/gateway/crashes.py
@@ -29,7 +29,7 @@
 
 def make_book() -> SuspectBook:
     """Return an empty book of crashes."""
-    return SuspectBook(kept_ms=KEPT_MS)
+    return SuspectBook(retention_ms=KEPT_MS)
 
 
 @dataclass(slots=True)
@@ -74,7 +74,7 @@
 
     def is_suspect(self, fingerprint: str) -> bool:
         """Tell whether a request broke too many endpoints lately."""
-        crash_ids = self.book.open_crashes(fingerprint)
+        crash_ids = self.book.uncleared_crashes(fingerprint)
         broken = {crash_origin(one) for one in crash_ids}
         return len(broken) >= SUSPECT_ENDPOINTS
 
--- a/src/quetzaldyke/gateway/watch.py
+++ b/src/quetzaldyke/gateway/watch.py
@@ -11,7 +11,7 @@
 from result import Err
 
 from quetzaldyke.gateway.logs import log_event
-from quetzaldyke.parts.backoff import BackoffOptions, pause_s
+from quetzaldyke.parts.backoff import BackoffOptions, backoff_s
 from quetzaldyke.parts.transactions import (
     Snapshot,
     TransactionalStore,
@@ -52,7 +52,7 @@
                 await anyio.sleep(self.pause_s())
                 continue
             self.failures += 1
-            await anyio.sleep(pause_s(RETRY, self.failures, random.uniform))
+            await anyio.sleep(backoff_s(RETRY, self.failures, random.uniform))
 
     async def step(self) -> bool:
         """Make one call; tell whether it succeeded."""
--- a/src/quetzaldyke/parts/backoff.py
+++ b/src/quetzaldyke/parts/backoff.py
@@ -23,20 +23,21 @@
     cap_s: float = 1.0
 
 
-def ceiling_s(options: BackoffOptions, attempt: int) -> float:
+def max_backoff_s(options: BackoffOptions, attempt: int) -> float:
     """Return the longest pause after the given failed attempt (from 1).
 
-    >>> [ceiling_s(BackoffOptions(0.5, 3.0), tried) for tried in (1, 2, 3, 4)]
+    >>> options = BackoffOptions(0.5, 3.0)
+    >>> [max_backoff_s(options, attempt) for attempt in (1, 2, 3, 4)]
     [0.5, 1.0, 2.0, 3.0]
     """
     doublings = min(max(attempt, 1) - 1, MAX_DOUBLINGS)
     return min(options.cap_s, options.base_s * FACTOR**doublings)
 
 
-def pause_s(
+def backoff_s(
     options: BackoffOptions,
     attempt: int,
     uniform: Callable[[float, float], float],
 ) -> float:
     """Return a pause drawn evenly between zero and the ceiling."""
-    return uniform(0, ceiling_s(options, attempt))
+    return uniform(0, max_backoff_s(options, attempt))
--- a/src/quetzaldyke/parts/claim_groups.py
+++ b/src/quetzaldyke/parts/claim_groups.py
@@ -98,7 +98,7 @@
     # Group writes that were tried, for metrics.
     groups: int = 0
 
-    async def settle(self) -> None:
+    async def retry_failed_writes(self) -> None:
         """Write outcomes and releases that could not be written before.
 
         Stops at the first bucket whose write fails again.
@@ -111,7 +111,7 @@
                 return
 
     def kept_bytes(self) -> int:
-        """Return the memory of what waits to be written by `settle`."""
+        """Return the size of the operations kept to be retried."""
         return sum(
             len(operation.outcome) + KEPT_OVERHEAD_BYTES
             for bucket in self.buckets
--- a/src/quetzaldyke/parts/claims.py
+++ b/src/quetzaldyke/parts/claims.py
@@ -149,7 +149,7 @@
     ) -> Result[None, ClaimError]:
         """Record the outcome of the caller's own claim; safe to repeat.
 
-        After a failure the ledger goes on trying by `settle`.
+        After a failure the ledger goes on trying by `retry_failed_writes`.
         """
         if len(outcome) > MAX_INLINE_BYTES:
             return await self.record_elsewhere(key_hash, claim_id, outcome)
@@ -174,12 +174,12 @@
         operation = Operation('release', key_hash, claim_id)
         return (await self.writer.submit(operation)).map(lambda _reply: None)
 
-    async def settle(self) -> None:
+    async def retry_failed_writes(self) -> None:
         """Try again to write outcomes and releases that failed before.
 
         To be called every few seconds.
         """
-        await self.writer.settle()
+        await self.writer.retry_failed_writes()
 
     async def prune(self) -> Result[int, KvError]:
         """Remove claims and outcomes past the retention; returns how many.
--- a/src/quetzaldyke/parts/fencing.py
+++ b/src/quetzaldyke/parts/fencing.py
@@ -18,7 +18,7 @@
 
 from quetzaldyke.parts.timers import Clock
 
-NONCE_LIFE_S: Final = 2.0
+NONCE_TTL_S: Final = 2.0
 NONCE_BYTES: Final = 16
 
 Refusal = Literal['nonce not valid', 'token is stale']
@@ -34,9 +34,9 @@
     """Decides which orders are carried out.
 
     >>> gate = FencingGate(Clock(read=lambda: 0.0))
-    >>> gate.admit('order-1', gate.prepare('order-1'), token=7).is_ok()
+    >>> gate.admit('order-1', gate.issue_nonce('order-1'), token=7).is_ok()
     True
-    >>> gate.admit('order-2', gate.prepare('order-2'), token=6)
+    >>> gate.admit('order-2', gate.issue_nonce('order-2'), token=6)
     Err('token is stale')
     >>> gate.admit('order-3', 'old-nonce', token=8)
     Err('nonce not valid')
@@ -48,11 +48,11 @@
     # Nonce to the order that it was made for and the end of its life.
     nonces: dict[str, tuple[str, float]] = field(default_factory=dict)
 
-    def prepare(self, order_id: str) -> str:
+    def issue_nonce(self, order_id: str) -> str:
         """Return a nonce for one order."""
         self.forget_old()
         nonce = self.make_nonce()
-        self.nonces[nonce] = (order_id, self.clock.now() + NONCE_LIFE_S)
+        self.nonces[nonce] = (order_id, self.clock.now() + NONCE_TTL_S)
         return nonce
 
     def admit(
@@ -75,7 +75,7 @@
         """Tell whether a higher token was seen."""
         return token < self.highest
 
-    def note_token(self, token: int) -> None:
+    def observe_token(self, token: int) -> None:
         """Learn a token that the endpoint has seen."""
         self.highest = max(self.highest, token)
 
--- a/src/quetzaldyke/parts/kv.py
+++ b/src/quetzaldyke/parts/kv.py
@@ -60,9 +60,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One change seen by a watch; `entry.value` is empty when deleted."""
+    """One change seen by a watch; `record.value` is empty when deleted."""
 
-    entry: Record
+    record: Record
     deleted: bool
 
 
--- a/src/quetzaldyke/parts/limiter.py
+++ b/src/quetzaldyke/parts/limiter.py
@@ -58,7 +58,7 @@
 
     >>> samples = Samples(target_ms=50)
     >>> for _ in range(20):
-    ...     samples.note(80)
+    ...     samples.add(80)
     >>> samples.over, samples.high_ms
     (True, 80)
     """
@@ -67,7 +67,7 @@
     window: deque[float] = field(default_factory=make_window)
     cleared_s: float = 0.0
 
-    def note(self, sample_ms: float) -> None:
+    def add(self, sample_ms: float) -> None:
         """Add a sample."""
         self.window.append(sample_ms)
 
@@ -97,11 +97,11 @@
 
     >>> limit = AdaptiveLimit(8, Samples(100), Samples(50))
     >>> for _ in range(20):
-    ...     limit.between_tokens.note(80)
+    ...     limit.between_tokens.add(80)
     >>> limit.adjust(now_s=1.0)
     >>> limit.limit
     6
-    >>> limit.note_used(6)
+    >>> limit.record_running(6)
     >>> limit.adjust(now_s=2.0)
     >>> limit.limit
     7
@@ -127,7 +127,7 @@
         """Return the lowest limit."""
         return max(1, int(self.maximum * MIN_SHARE))
 
-    def note_used(self, running: int) -> None:
+    def record_running(self, running: int) -> None:
         """Remember whether the limit held work back."""
         self.reached = self.reached or running >= self.limit
 
@@ -165,8 +165,8 @@
     >>> headroom.slots(limit=16, now_s=0.0)
     0
     >>> for _ in range(30):
-    ...     headroom.note_arrival(now_s=0.0)
-    >>> headroom.expected
+    ...     headroom.record_arrival(now_s=0.0)
+    >>> headroom.expected_arrivals
     1.5
     >>> headroom.slots(limit=16, now_s=0.0), headroom.slots(16, now_s=0.9)
     (1, 1)
@@ -179,12 +179,12 @@
         default_factory=lambda: deque([0], maxlen=ARRIVAL_BUCKETS),
     )
 
-    def note_arrival(self, now_s: float) -> None:
+    def record_arrival(self, now_s: float) -> None:
         """Count an online arrival."""
         self.advance(now_s)
         self.arrivals[-1] += 1
 
-    def note_yield(self, yield_s: float) -> None:
+    def record_preemption(self, yield_s: float) -> None:
         """Add the time that one preemption took to free its slot."""
         self.yield_s += (yield_s - self.yield_s) * YIELD_WEIGHT
 
@@ -196,7 +196,7 @@
         self.bucket = max(bucket, self.bucket)
 
     @property
-    def expected(self) -> float:
+    def expected_arrivals(self) -> float:
         """Return the arrivals expected while one slot is being freed."""
         window_s = ARRIVAL_BUCKETS * ARRIVAL_BUCKET_S
         return sum(self.arrivals) / window_s * self.yield_s
@@ -204,7 +204,7 @@
     def slots(self, limit: int, now_s: float) -> int:
         """Return the slots to keep free; one slot is left for batch."""
         self.advance(now_s)
-        whole = math.floor(self.expected)
+        whole = math.floor(self.expected_arrivals)
         turn = int(now_s) * TURN_STEP + self.phase
-        extra = self.expected - whole > turn - math.floor(turn)
+        extra = self.expected_arrivals - whole > turn - math.floor(turn)
         return min(whole + extra, limit - 1)
--- a/src/quetzaldyke/parts/memory_store.py
+++ b/src/quetzaldyke/parts/memory_store.py
@@ -132,9 +132,9 @@
         while True:
             changed = self.next_change()
             for change in list(self.changes):
-                if change.entry.revision <= seen:
+                if change.record.revision <= seen:
                     continue
-                if change.entry.key.startswith(prefix):
+                if change.record.key.startswith(prefix):
                     yield change
             seen = max(seen, self.revision)
             await changed.wait()
--- a/src/quetzaldyke/parts/suspects.py
+++ b/src/quetzaldyke/parts/suspects.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import Final, Literal
 
-KEPT_MS: Final = 3_600_000
+CRASH_RETENTION_MS: Final = 3_600_000
 CONFIRMING_CRASHES: Final = 3
 ALONE_MARK: Final = 'alone'
 
@@ -68,7 +68,7 @@
     crashes: dict[str, set[str]] = field(default_factory=dict)
     cleared: dict[str, set[str]] = field(default_factory=dict)
     # For how long crashes count.
-    kept_ms: int = KEPT_MS
+    retention_ms: int = CRASH_RETENTION_MS
 
     def record(
         self,
@@ -82,7 +82,7 @@
 
     def clear(self, fingerprint: str) -> CrashTable:
         """Clear a suspect that finished and return what to tell."""
-        open_ids = self.open_crashes(fingerprint)
+        open_ids = self.uncleared_crashes(fingerprint)
         if not open_ids:
             return {}
         self.cleared.setdefault(fingerprint, set()).update(open_ids)
@@ -96,11 +96,11 @@
     ) -> tuple[CrashTable, CrashTable]:
         """Add another process's records and return those that were new."""
         return (
-            add_new(self.crashes, crashes, now_ms, self.kept_ms),
-            add_new(self.cleared, cleared, now_ms, self.kept_ms),
+            add_new(self.crashes, crashes, now_ms, self.retention_ms),
+            add_new(self.cleared, cleared, now_ms, self.retention_ms),
         )
 
-    def open_crashes(self, fingerprint: str) -> set[str]:
+    def uncleared_crashes(self, fingerprint: str) -> set[str]:
         """Return the crashes of a fingerprint that were not cleared."""
         recorded = self.crashes.get(fingerprint)
         if not recorded:
@@ -109,7 +109,7 @@
 
     def verdict(self, fingerprint: str) -> Verdict:
         """Return how a request may run."""
-        open_ids = self.open_crashes(fingerprint)
+        open_ids = self.uncleared_crashes(fingerprint)
         if not open_ids:
             return 'clear'
         if len(open_ids) >= CONFIRMING_CRASHES or crashed_alone(open_ids):
@@ -124,7 +124,7 @@
                     [
                         one
                         for one in ids
-                        if not recent(one, now_ms, self.kept_ms)
+                        if not recent(one, now_ms, self.retention_ms)
                     ],
                 )
                 if not ids:
@@ -148,23 +148,25 @@
     return any(one.endswith(f'/{ALONE_MARK}') for one in ordered[1:])
 
 
-def recent(crash_id: str, now_ms: int, kept_ms: int) -> bool:
+def recent(crash_id: str, now_ms: int, retention_ms: int) -> bool:
     """Tell whether a crash is within the time that records are kept."""
     time_ms = crash_time_ms(crash_id)
-    return time_ms is not None and abs(now_ms - time_ms) < kept_ms
+    return time_ms is not None and abs(now_ms - time_ms) < retention_ms
 
 
 def add_new(
     table: dict[str, set[str]],
     added: Mapping[str, Iterable[str]],
     now_ms: int,
-    kept_ms: int,
+    retention_ms: int,
 ) -> CrashTable:
     """Add ids to a table and return those that it did not have."""
     news: CrashTable = {}
     for fingerprint, ids in added.items():
         known = table.get(fingerprint, set())
-        fresh = {one for one in ids if recent(one, now_ms, kept_ms)} - known
+        fresh = {
+            one for one in ids if recent(one, now_ms, retention_ms)
+        } - known
         if fresh:
             table.setdefault(fingerprint, set()).update(fresh)
             news[fingerprint] = sorted(fresh)
--- a/src/quetzaldyke/parts/timers.py
+++ b/src/quetzaldyke/parts/timers.py
@@ -123,7 +123,7 @@
                 self.planned_s = self.next_wakeup_s()
                 # Negative when the process was paused just now.
                 await anyio.sleep(max(0.0, self.planned_s - self.clock.now()))
-                self.notice_delay()
+                self.report_delay()
                 for subscription in self.due():
                     subscription.running = True
                     group.start_soon(self.fire, subscription)
@@ -144,7 +144,7 @@
             return 0.0
         return max(0.0, self.clock.now() - self.planned_s)
 
-    def notice_delay(self) -> None:
+    def report_delay(self) -> None:
         """Tell the pause handlers once how late the wake-up came."""
         delay_s = self.delay_s
         self.planned_s = self.clock.now()
--- a/src/quetzaldyke/process/admission.py
+++ b/src/quetzaldyke/process/admission.py
@@ -98,7 +98,7 @@
         if refusal is None and work.batch:
             refusal = self.check_batch(work)
         elif refusal is None:
-            self.headroom.note_arrival(self.clock.now())
+            self.headroom.record_arrival(self.clock.now())
             refusal = self.check_online(work)
         if refusal is not None:
             self.refuse(work, refusal)
@@ -174,7 +174,7 @@
         self.drop_expired(now_s)
         waiting = self.start_online(now_s)
         self.preempt(waiting, now_s)
-        self.limit.note_used(len(self.running))
+        self.limit.record_running(len(self.running))
         self.give_grants(now_s)
 
     def drop_expired(self, now_s: float) -> None:
@@ -293,7 +293,7 @@
         self.running.pop(work.submit.request_id, None)
         now_s = self.clock.now()
         if work.stop_reason == 'preempted':
-            self.headroom.note_yield(now_s - work.stop_s)
+            self.headroom.record_preemption(now_s - work.stop_s)
         elif not work.batch and not work.stop_reason:
             taken_s = now_s - work.started_s
             self.run_s += (taken_s - self.run_s) * RUN_TIME_WEIGHT
--- a/src/quetzaldyke/process/endpoint_watch.py
+++ b/src/quetzaldyke/process/endpoint_watch.py
@@ -200,7 +200,7 @@
         self.version = str(state.get('version', self.version))
         self.adapter = str(state.get('adapter', self.adapter))
         self.loading = bool(state.get('loading'))
-        self.gate.note_token(number(state, 'highest_token'))
+        self.gate.observe_token(number(state, 'highest_token'))
 
     async def read_cache(self) -> None:
         """Follow the engine's cache events; gaps only lose hints.
--- a/src/quetzaldyke/process/entry.py
+++ b/src/quetzaldyke/process/entry.py
@@ -333,7 +333,9 @@
     )
     timers.subscribe('instances', LIST_INTERVAL_S, entry.membership.refresh)
     timers.subscribe('deadlines', EXPIRY_INTERVAL_S, entry.expire_calls)
-    timers.subscribe('outcomes', SETTLE_INTERVAL_S, entry.claims.settle)
+    timers.subscribe(
+        'outcomes', SETTLE_INTERVAL_S, entry.claims.retry_failed_writes
+    )
     timers.subscribe('claims', PRUNE_INTERVAL_S, entry.prune_claims)
     timers.subscribe('usage', REPORT_INTERVAL_S, entry.usage.exchange)
     timers.subscribe('suspects', FORGET_INTERVAL_S, entry.suspects.forget_old)
--- a/src/quetzaldyke/process/entry_stop.py
+++ b/src/quetzaldyke/process/entry_stop.py
@@ -53,4 +53,4 @@
     assert entry.once is not None
     while entry.open_requests.count or entry.once.running:
         await anyio.sleep(DRAIN_POLL_S)
-    await entry.claims.settle()
+    await entry.claims.retry_failed_writes()
--- a/src/quetzaldyke/process/sidecar_messages.py
+++ b/src/quetzaldyke/process/sidecar_messages.py
@@ -199,7 +199,7 @@
 def check_pause(process: SidecarProcess) -> None:
     """Notice a pause of the process before acting on what was buffered."""
     if process.timers.delay_s > PAUSE_LIMIT_S:
-        process.timers.notice_delay()
+        process.timers.report_delay()
 
 
 def note_gap(process: SidecarProcess, gap_s: float) -> None:
--- a/src/quetzaldyke/process/sidecar_orders.py
+++ b/src/quetzaldyke/process/sidecar_orders.py
@@ -31,7 +31,7 @@
 
     def prepare(self, session: PeerSession, message: OrderPrepare) -> None:
         """Answer with a nonce."""
-        nonce = self.gate.prepare(message.order_id)
+        nonce = self.gate.issue_nonce(message.order_id)
         session.send(OrderNonce(message.order_id, nonce))
 
     def admit(self, session: PeerSession, order: Order) -> bool:
--- a/src/quetzaldyke/process/streams.py
+++ b/src/quetzaldyke/process/streams.py
@@ -113,10 +113,10 @@
         if not work.last_token_s:
             if not work.batch:
                 taken_s = now_s - work.started_s
-                self.admission.limit.first_token.note(taken_s * MS)
+                self.admission.limit.first_token.add(taken_s * MS)
         elif piece.tokens:
             gap_s = now_s - work.last_token_s
-            self.admission.limit.between_tokens.note(gap_s * MS / piece.tokens)
+            self.admission.limit.between_tokens.add(gap_s * MS / piece.tokens)
         work.last_token_s = now_s
         work.text.append(piece.text)
         work.tokens += piece.tokens
--- a/src/quetzaldyke/request/execute.py
+++ b/src/quetzaldyke/request/execute.py
@@ -22,7 +22,7 @@
     Started,
     Submit,
 )
-from quetzaldyke.parts.backoff import BackoffOptions, pause_s
+from quetzaldyke.parts.backoff import BackoffOptions, backoff_s
 from quetzaldyke.parts.retry_budget import RetryBudget
 from quetzaldyke.parts.suspects import SuspectBook
 from quetzaldyke.parts.timers import Clock
@@ -214,7 +214,7 @@
     if not is_free(failed) and not context.budget(request.pool).try_spend():
         context.log_event('retry_budget_spent', pool=request.pool)
         return False
-    pause = pause_s(
+    pause = backoff_s(
         RETRY_PAUSES,
         progress.attempt,
         context.router.random.uniform,
--- a/src/quetzaldyke/request/router.py
+++ b/src/quetzaldyke/request/router.py
@@ -16,7 +16,7 @@
 
 from quetzaldyke.connection.messages import Message, Report
 from quetzaldyke.connection.peer import PeerSession
-from quetzaldyke.parts.backoff import BackoffOptions, ceiling_s
+from quetzaldyke.parts.backoff import BackoffOptions, max_backoff_s
 from quetzaldyke.parts.timers import Clock
 from quetzaldyke.process.fleet import Fleet, SidecarLink
 from quetzaldyke.request.model import OnlineRequest
@@ -172,7 +172,7 @@
         """Keep new requests from an endpoint that failed one."""
         ejection = self.ejections.setdefault(name, Ejection())
         ejection.failures += 1
-        pause = ceiling_s(EJECTION, ejection.failures)
+        pause = max_backoff_s(EJECTION, ejection.failures)
         ejection.until_s = self.clock.now() + pause
 
     def note_success(self, name: str) -> None:
--- a/src/quetzaldyke/version/spread.py
+++ b/src/quetzaldyke/version/spread.py
@@ -201,7 +201,7 @@
 
     def on_change_seen(self, change: Change) -> None:
         """Adopt the value of a change that the watch gave."""
-        entry = change.entry
+        entry = change.record
         self.last_revision = max(self.last_revision, entry.revision)
         if entry.key == CONFIG_KEY and not change.deleted:
             self.on_head(Head.unpack(Envelope.unpack(entry.value).payload))
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -307,8 +307,8 @@
     """Guards against a limit that ignores the 95 in 100 of the targets."""
     adaptive = AdaptiveLimit(16, Samples(1e9), Samples(50.0), limit=10)
     for sample_ms in samples_ms:
-        adaptive.between_tokens.note(sample_ms)
-    adaptive.note_used(10 if used else 9)
+        adaptive.between_tokens.add(sample_ms)
+    adaptive.record_running(10 if used else 9)
     adaptive.adjust(now_s=1.0)
     assert adaptive.limit == limit
 
@@ -319,7 +319,7 @@
     limits = []
     for number in range(20):
         for _ in range(20):
-            adaptive.first_token.note(80.0)
+            adaptive.first_token.add(80.0)
         adaptive.adjust(now_s=10 + number / 2)
         limits.append(adaptive.limit)
     assert limits[:4] == [12, 12, 9, 9]
@@ -330,9 +330,9 @@
     """Guards against headroom that forgets a burst at once, or never."""
     headroom = Headroom(phase=0.0)
     for number in range(30):
-        headroom.note_arrival(now_s=1000 + number / 30)
-    headroom.note_yield(0.05)
-    assert headroom.expected == pytest.approx(1.5)
+        headroom.record_arrival(now_s=1000 + number / 30)
+    headroom.record_preemption(0.05)
+    assert headroom.expected_arrivals == pytest.approx(1.5)
     kept = [headroom.slots(limit=16, now_s=1000.95) for _ in range(3)]
     assert set(kept) <= {1, 2}
     assert headroom.slots(limit=2, now_s=1000.95) == 1
@@ -347,6 +347,6 @@
     kept = 0
     for second in range(200):
         for _ in range(arrivals):
-            headroom.note_arrival(now_s=float(second))
+            headroom.record_arrival(now_s=float(second))
         kept += headroom.slots(limit=16, now_s=second + 0.5)
     assert kept / 200 == pytest.approx(arrivals * 0.05, abs=0.02)
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quetzaldyke.parts.backoff import BackoffOptions, ceiling_s, pause_s
+from quetzaldyke.parts.backoff import BackoffOptions, max_backoff_s, backoff_s
 from quetzaldyke.parts.retry_budget import RetryBudget
 from quetzaldyke.parts.tokens import TokenBucket
 from quetzaldyke.request.limits import (
@@ -77,8 +77,8 @@
 def test_pauses_stay_under_the_cap(attempt: int) -> None:
     """Guards against pauses that outgrow the deadline or overflow."""
     options = BackoffOptions(0.02, 0.5)
-    assert 0 < ceiling_s(options, attempt) <= 0.5
-    assert pause_s(options, attempt, lambda low, high: low) == 0
+    assert 0 < max_backoff_s(options, attempt) <= 0.5
+    assert backoff_s(options, attempt, lambda low, high: low) == 0
 
 
 @given(
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -119,7 +119,7 @@
         store.plan(reads, writes)
         answer = await ledger.claim('k', NOW_MS)
         store.plan([], [])
-        await ledger.settle()
+        await ledger.retry_failed_writes()
         await store.apply_delayed()
         # The refused attempt does not run, so its key is free again.
         await claimed(make_ledger(store))
@@ -202,7 +202,7 @@
         async with anyio.create_task_group() as group:
             group.start_soon(one_claim, 'first')
             group.start_soon(one_claim, 'second')
-        await ledger.settle()
+        await ledger.retry_failed_writes()
         for key in scopes:
             if f'{key} Claimed' not in seen:
                 await claimed(make_ledger(store), key)
@@ -248,10 +248,10 @@
         claim_id = await claimed(ledger)
         store.plan(['unavailable'] * 32, [])
         assert (await ledger.record('k', claim_id, b'booked')).is_err()
-        await ledger.settle()
+        await ledger.retry_failed_writes()
         assert ledger.writer.kept_bytes() > 0
         store.plan([], [])
-        await ledger.settle()
+        await ledger.retry_failed_writes()
         assert ledger.writer.kept_bytes() == 0
         return await make_ledger(store).claim('k', NOW_MS)
 
--- a/tests/test_claims_sockets.py
+++ b/tests/test_claims_sockets.py
@@ -137,7 +137,7 @@
         # Writes on their way arrive.
         await anyio.sleep(0.2)
         for ledger in self.ledgers:
-            await ledger.settle()
+            await ledger.retry_failed_writes()
             assert ledger.writer.kept_bytes() == 0
         run_keys = {one.key for one in self.history.named('run')}
         for key in KEYS:
--- a/tests/test_claims_stateful.py
+++ b/tests/test_claims_stateful.py
@@ -124,7 +124,7 @@
         """Compare what the ledgers say with what happened."""
         await self.store.apply_delayed()
         for ledger in self.ledgers:
-            await ledger.settle()
+            await ledger.retry_failed_writes()
         for key in KEYS:
             answer = await self.ledgers[0].claim(key, NOW_MS)
             reply = answer.unwrap()
--- a/tests/test_kv_http.py
+++ b/tests/test_kv_http.py
@@ -205,7 +205,9 @@
         return seen
 
     seen = run(steps)
-    assert [(one.entry.key, one.entry.value, one.deleted) for one in seen] == [
+    assert [
+        (one.record.key, one.record.value, one.deleted) for one in seen
+    ] == [
         ('w/1', b'2', False),
         ('w/2', b'3', False),
         ('w/1', b'', True),
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -89,7 +89,7 @@
         """Answer a giver."""
         match message:
             case messages.OrderPrepare(order_id=order_id):
-                nonce = self.gate.prepare(order_id)
+                nonce = self.gate.issue_nonce(order_id)
                 await self.reply(giver, messages.OrderNonce(order_id, nonce))
             case messages.Order() if self.held is not None:
                 self.held.append((giver, message))
--- a/tests/test_sidecar_orders.py
+++ b/tests/test_sidecar_orders.py
@@ -14,7 +14,7 @@
     OrderResult,
     Report,
 )
-from quetzaldyke.parts.fencing import NONCE_LIFE_S, FencingGate
+from quetzaldyke.parts.fencing import NONCE_TTL_S, FencingGate
 from quetzaldyke.parts.timers import Clock
 from sidecar_rig import EntryClient, make_rig
 
@@ -106,12 +106,12 @@
 
 @pytest.mark.parametrize(
     ('age_s', 'admitted'),
-    [(0.0, True), (NONCE_LIFE_S - 0.01, True), (NONCE_LIFE_S, False)],
+    [(0.0, True), (NONCE_TTL_S - 0.01, True), (NONCE_TTL_S, False)],
 )
 def test_nonces_expire(age_s: float, admitted: bool) -> None:
     """Guards against an order that was delayed for long."""
     gate, now = make_gate()
-    nonce = gate.prepare('order')
+    nonce = gate.issue_nonce('order')
     now[0] = age_s
     assert gate.admit('order', nonce, 1).is_ok() is admitted
 
@@ -119,8 +119,8 @@
 def test_nonce_serves_one_order_once() -> None:
     """Guards against a replayed order and a nonce used for another."""
     gate, _ = make_gate()
-    assert gate.admit('b', gate.prepare('a'), 1).is_err()
-    nonce = gate.prepare('c')
+    assert gate.admit('b', gate.issue_nonce('a'), 1).is_err()
+    nonce = gate.issue_nonce('c')
     assert gate.admit('c', nonce, 1).is_ok()
     assert gate.admit('c', nonce, 2).is_err()
 
@@ -129,6 +129,6 @@
     """Guards against a false order that locks the true giver out."""
     gate, _ = make_gate()
     assert gate.admit('a', 'guessed', 1_000_000).is_err()
-    assert gate.admit('b', gate.prepare('b'), 1).is_ok()
-    assert gate.admit('c', gate.prepare('c'), 1).is_ok()
-    assert gate.admit('d', gate.prepare('d'), 0).is_err()
+    assert gate.admit('b', gate.issue_nonce('b'), 1).is_ok()
+    assert gate.admit('c', gate.issue_nonce('c'), 1).is_ok()
+    assert gate.admit('d', gate.issue_nonce('d'), 0).is_err()
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from quetzaldyke.parts.suspects import (
-    KEPT_MS,
+    CRASH_RETENTION_MS,
     SuspectBook,
     make_crash_id,
 )
@@ -171,8 +171,11 @@
     book = SuspectBook()
     crash_id = make_crash_id(NOW_MS, 's', 1, alone=False)
     book.record(crash_id, ['f'], NOW_MS)
-    book.forget_old(NOW_MS + KEPT_MS - 1)
+    book.forget_old(NOW_MS + CRASH_RETENTION_MS - 1)
     assert book.verdict('f') == 'apart'
-    book.forget_old(NOW_MS + KEPT_MS)
+    book.forget_old(NOW_MS + CRASH_RETENTION_MS)
     assert book.verdict('f') == 'clear'
-    assert book.merge({'f': [crash_id]}, {}, NOW_MS + KEPT_MS) == ({}, {})
+    assert book.merge({'f': [crash_id]}, {}, NOW_MS + CRASH_RETENTION_MS) == (
+        {},
+        {},
+    )
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -89,8 +89,8 @@
     service.on_pause(delays.append)
     service.planned_s = service.next_wakeup_s()
     time.now_s = service.planned_s + 10
-    service.notice_delay()
-    service.notice_delay()
+    service.report_delay()
+    service.report_delay()
     assert delays == [10.0, 0.0]
 
 
