--- a/src/quetzaldyke/parts/backoff.py
+++ b/src/quetzaldyke/parts/backoff.py
@@ -1,7 +1,7 @@
-"""Pauses between tries: exponential, capped, with full jitter.
+"""Capped exponential backoff with full jitter.
 
 Full jitter spreads the retries of many callers over the whole interval, so
-that they don't arrive together at the endpoint that just recovered.
+that they don't all reach an endpoint that has just recovered at once.
 """
 
 from __future__ import annotations
@@ -10,28 +10,28 @@
 from dataclasses import dataclass
 from typing import Final
 
-FACTOR: Final = 2.0
-# Keeps the exponent in range; the cap applies long before.
+GROWTH_FACTOR: Final = 2.0
+# Bounds the exponent; the cap is reached after far fewer doublings.
 MAX_DOUBLINGS: Final = 32
 
 
 @dataclass(frozen=True, slots=True)
 class BackoffOptions:
-    """Bounds of the pauses."""
+    """Delay after the first failed attempt, and the maximum delay."""
 
     base_s: float = 0.02
     cap_s: float = 1.0
 
 
 def max_backoff_s(options: BackoffOptions, attempt: int) -> float:
-    """Return the longest pause after the given failed attempt (from 1).
+    """Return the maximum delay after a failed attempt, counted from 1.
 
     >>> options = BackoffOptions(0.5, 3.0)
     >>> [max_backoff_s(options, attempt) for attempt in (1, 2, 3, 4)]
     [0.5, 1.0, 2.0, 3.0]
     """
     doublings = min(max(attempt, 1) - 1, MAX_DOUBLINGS)
-    return min(options.cap_s, options.base_s * FACTOR**doublings)
+    return min(options.cap_s, options.base_s * GROWTH_FACTOR**doublings)
 
 
 def backoff_s(
@@ -39,5 +39,5 @@
     attempt: int,
     uniform: Callable[[float, float], float],
 ) -> float:
-    """Return a pause drawn evenly between zero and the ceiling."""
+    """Return a delay drawn uniformly between 0 and `max_backoff_s`."""
     return uniform(0, max_backoff_s(options, attempt))
--- a/src/quetzaldyke/parts/limiter.py
+++ b/src/quetzaldyke/parts/limiter.py
@@ -1,8 +1,8 @@
-"""Adaptive concurrency limit and the headroom kept for online arrivals.
+"""Adaptive concurrency limit and the slots reserved for online requests.
 
-The limit follows the measured time to first token and time between tokens:
-it rises by one while it is used up and both stay under target, and is cut by
-a factor when one of them is over.
+The limit follows the measured time to first token and time between tokens.
+It rises by one while it is reached and both times are within their targets,
+and falls by a factor when either time exceeds its target.
 """
 
 from __future__ import annotations
@@ -13,53 +13,54 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-CUT_FACTOR: Final = 0.8
+DECREASE_FACTOR: Final = 0.8
 ADJUST_INTERVAL_S: Final = 1.0
-QUANTILE: Final = 0.95  # the targets hold for 95 in 100
-# Fewer samples say too little about a quantile to cut the limit.
+QUANTILE: Final = 0.95  # each target is for the 95th percentile
+# With fewer samples the quantile is too uncertain to lower the limit.
 MIN_SAMPLES: Final = 20
 MAX_SAMPLES: Final = 512
-SAMPLE_LIFE_S: Final = 10.0
-# A decoding step has a fixed part that fewer streams don't shorten, so a
-# limit below this share of the maximum is not tried.
-MIN_SHARE: Final = 0.25
+MAX_WINDOW_AGE_S: Final = 10.0
+# Part of the duration of a decoding step is independent of the number of
+# streams, so the limit is never set below this fraction of the maximum.
+MIN_LIMIT_RATIO: Final = 0.25
 ARRIVAL_BUCKET_S: Final = 0.1
-# The rate of the last second follows the start of a burst quickly.
+# Together one second: short enough to follow the start of a burst quickly.
 ARRIVAL_BUCKETS: Final = 10
-# A turn is one second, about as long as a batch item runs, so that a slot is
-# free by the end of an item and need not be preempted. Steps by the golden
-# ratio spread the turns of endpoints evenly.
-TURN_STEP: Final = 0.618034
-YIELD_WEIGHT: Final = 0.2
-# Used until the first preemption was measured.
-INITIAL_YIELD_S: Final = 0.05
+# Whether an endpoint reserves the extra slot is decided anew every second.
+# That is about the run time of a batch item, so the slot becomes free when an
+# item ends and none has to be preempted. Golden ratio steps spread the
+# reserved seconds of the endpoints evenly.
+GOLDEN_RATIO_STEP: Final = 0.618034
+PREEMPTION_EWMA_WEIGHT: Final = 0.2
+# Used until a preemption has been measured.
+INITIAL_PREEMPTION_S: Final = 0.05
 
 
-def quantile(samples: list[float], share: float) -> float:
-    """Return a quantile; 0 without samples.
+def quantile(samples: list[float], fraction: float) -> float:
+    """Return the sample at the given quantile, or 0 without samples.
 
     >>> quantile([4.0, 1.0, 3.0, 2.0], 0.5)
     3.0
     """
     if not samples:
         return 0
-    position = min(len(samples) - 1, int(share * len(samples)))
+    position = min(len(samples) - 1, int(fraction * len(samples)))
     return sorted(samples)[position]
 
 
 def make_window() -> deque[float]:
-    """Return an empty window of samples."""
+    """Return an empty window that holds the latest `MAX_SAMPLES`."""
     return deque(maxlen=MAX_SAMPLES)
 
 
 @dataclass(slots=True)
 class Samples:
-    """Measured times since the last judgement.
+    """Latencies measured since the window was last cleared.
 
     >>> samples = Samples(target_ms=50)
     >>> for _ in range(20):
     ...     samples.add(80)
-    >>> samples.over, samples.high_ms
+    >>> samples.over_target, samples.quantile_ms
     (True, 80)
     """
 
@@ -72,20 +73,20 @@
         self.window.append(sample_ms)
 
     @property
-    def high_ms(self) -> float:
-        """Return the quantile that the target is for."""
+    def quantile_ms(self) -> float:
+        """Return the quantile to compare with the target."""
         return quantile(list(self.window), QUANTILE)
 
     @property
-    def over(self) -> bool:
-        """Tell whether enough samples show that the target is missed."""
+    def over_target(self) -> bool:
+        """Tell whether the quantile of enough samples exceeds the target."""
         return len(self.window) >= MIN_SAMPLES and (
-            self.high_ms > self.target_ms
+            self.quantile_ms > self.target_ms
         )
 
-    def drop_used(self, now_s: float) -> None:
-        """Drop samples that were enough to judge by, or are too old."""
-        old = now_s - self.cleared_s >= SAMPLE_LIFE_S
+    def reset_window(self, now_s: float) -> None:
+        """Clear the window if it has enough samples or is too old."""
+        old = now_s - self.cleared_s >= MAX_WINDOW_AGE_S
         if old or len(self.window) >= MIN_SAMPLES:
             self.window.clear()
             self.cleared_s = now_s
@@ -93,7 +94,7 @@
 
 @dataclass(slots=True)
 class AdaptiveLimit:
-    """Number of streams that an endpoint may run at once.
+    """Number of streams that an endpoint may run concurrently.
 
     >>> limit = AdaptiveLimit(8, Samples(100), Samples(50))
     >>> for _ in range(20):
@@ -112,54 +113,57 @@
     between_tokens: Samples
     adaptive: bool = True
     limit: int = 0
-    reached: bool = False
+    limit_reached: bool = False
     adjusted_s: float = 0.0
-    # The latest figures, for reports.
+    # The latest quantiles, reported to other processes.
     ttft_ms: float = 0.0
     tbt_ms: float = 0.0
 
     def __post_init__(self) -> None:
-        """Start at the endpoint's own maximum."""
+        """Start at the maximum unless a limit is given."""
         self.limit = self.limit or self.maximum
 
     @property
     def minimum(self) -> int:
-        """Return the lowest limit."""
-        return max(1, int(self.maximum * MIN_SHARE))
+        """Return the lowest value that the limit may take."""
+        return max(1, int(self.maximum * MIN_LIMIT_RATIO))
 
     def record_running(self, running: int) -> None:
-        """Remember whether the limit held work back."""
-        self.reached = self.reached or running >= self.limit
+        """Note whether the running streams have reached the limit."""
+        self.limit_reached = self.limit_reached or running >= self.limit
 
     def adjust(self, now_s: float) -> None:
-        """Move the limit by the samples since the last adjustment."""
+        """Update the limit, at most once per `ADJUST_INTERVAL_S`.
+
+        The figures for reports are updated even if the limit is fixed.
+        """
         if now_s - self.adjusted_s < ADJUST_INTERVAL_S:
             return
         self.adjusted_s = now_s
-        self.ttft_ms = self.first_token.high_ms or self.ttft_ms
-        self.tbt_ms = self.between_tokens.high_ms or self.tbt_ms
+        self.ttft_ms = self.first_token.quantile_ms or self.ttft_ms
+        self.tbt_ms = self.between_tokens.quantile_ms or self.tbt_ms
         if self.adaptive:
-            self.move()
-        self.reached = False
-        self.first_token.drop_used(now_s)
-        self.between_tokens.drop_used(now_s)
-
-    def move(self) -> None:
-        """Cut the limit when a target is missed, else raise it if used."""
-        if self.first_token.over or self.between_tokens.over:
-            self.limit = max(self.minimum, int(self.limit * CUT_FACTOR))
-        elif self.reached:
+            self.update_limit()
+        self.limit_reached = False
+        self.first_token.reset_window(now_s)
+        self.between_tokens.reset_window(now_s)
+
+    def update_limit(self) -> None:
+        """Lower the limit if a target is missed, else raise it if reached."""
+        if self.first_token.over_target or self.between_tokens.over_target:
+            self.limit = max(self.minimum, int(self.limit * DECREASE_FACTOR))
+        elif self.limit_reached:
             self.limit = min(self.maximum, self.limit + 1)
 
 
 @dataclass(slots=True)
 class Headroom:
-    """Slots kept free of batch for the arrivals during one preemption.
+    """Slots reserved for the online requests that arrive in a preemption.
 
-    The expected number is mostly below one. Whole slots would then leave a
-    large part of the idle capacity unused, so the fraction is the share of
-    the time in which one slot is kept. Endpoints take turns by their phase,
-    and requests go to the endpoints with a free slot.
+    The expected number of arrivals is mostly below one, and rounding it up
+    would waste much of the idle capacity. Its fractional part is therefore
+    the fraction of the time in which one slot is reserved. The phase of each
+    endpoint shifts that time, and requests go to endpoints with a free slot.
 
     >>> headroom = Headroom(phase=0.5)
     >>> headroom.slots(limit=16, now_s=0.0)
@@ -172,39 +176,43 @@
     (1, 1)
     """
 
-    yield_s: float = INITIAL_YIELD_S
+    preemption_s: float = INITIAL_PREEMPTION_S
     phase: float = field(default_factory=random.random)
-    bucket: int = 0
+    bucket_number: int = 0
     arrivals: deque[int] = field(
         default_factory=lambda: deque([0], maxlen=ARRIVAL_BUCKETS),
     )
 
     def record_arrival(self, now_s: float) -> None:
-        """Count an online arrival."""
-        self.advance(now_s)
+        """Count the arrival of an online request."""
+        self.advance_buckets(now_s)
         self.arrivals[-1] += 1
 
-    def record_preemption(self, yield_s: float) -> None:
-        """Add the time that one preemption took to free its slot."""
-        self.yield_s += (yield_s - self.yield_s) * YIELD_WEIGHT
-
-    def advance(self, now_s: float) -> None:
-        """Open the buckets up to the present one."""
-        bucket = int(now_s / ARRIVAL_BUCKET_S)
-        for _ in range(min(bucket - self.bucket, ARRIVAL_BUCKETS)):
+    def record_preemption(self, preemption_s: float) -> None:
+        """Update the average time that a preemption takes to free a slot."""
+        self.preemption_s += (
+            preemption_s - self.preemption_s
+        ) * PREEMPTION_EWMA_WEIGHT
+
+    def advance_buckets(self, now_s: float) -> None:
+        """Append empty buckets up to the current time."""
+        bucket_number = int(now_s / ARRIVAL_BUCKET_S)
+        for _ in range(
+            min(bucket_number - self.bucket_number, ARRIVAL_BUCKETS)
+        ):
             self.arrivals.append(0)
-        self.bucket = max(bucket, self.bucket)
+        self.bucket_number = max(bucket_number, self.bucket_number)
 
     @property
     def expected_arrivals(self) -> float:
-        """Return the arrivals expected while one slot is being freed."""
+        """Return the arrivals expected during one preemption."""
         window_s = ARRIVAL_BUCKETS * ARRIVAL_BUCKET_S
-        return sum(self.arrivals) / window_s * self.yield_s
+        return sum(self.arrivals) / window_s * self.preemption_s
 
     def slots(self, limit: int, now_s: float) -> int:
-        """Return the slots to keep free; one slot is left for batch."""
-        self.advance(now_s)
+        """Return the number of slots to reserve, at most `limit - 1`."""
+        self.advance_buckets(now_s)
         whole = math.floor(self.expected_arrivals)
-        turn = int(now_s) * TURN_STEP + self.phase
-        extra = self.expected_arrivals - whole > turn - math.floor(turn)
+        offset = int(now_s) * GOLDEN_RATIO_STEP + self.phase
+        extra = self.expected_arrivals - whole > offset - math.floor(offset)
         return min(whole + extra, limit - 1)
--- a/src/quetzaldyke/parts/retry_budget.py
+++ b/src/quetzaldyke/parts/retry_budget.py
@@ -1,9 +1,10 @@
-"""Bounds retries to a share of the requests plus a floor.
+"""Limits retries to a ratio of the requests plus a minimum rate.
 
-Without a bound, retries multiply the load on endpoints that already fail.
-Every request deposits a fraction of a retry, and the floor refills with
-time, so that a quiet pool can still retry. Both are capped by a window, so
-that savings from a quiet hour can't feed a retry storm.
+Without a limit, retries multiply the load on endpoints that already fail.
+Every request deposits a fraction of a retry. A floor refills with time, so
+that a pool with few requests can still retry. Both balances are limited to
+what a time window yields, so that unused retries of a quiet period can't
+cause a retry storm.
 """
 
 from __future__ import annotations
@@ -12,17 +13,17 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-# Retries allowed for each request, as a share.
+# Retries allowed per request.
 DEFAULT_RATIO: Final = 0.1
 DEFAULT_FLOOR_PER_S: Final = 3.0
-# An endpoint's death fails all its streams at once; the window lets a quiet
-# pool resume 30 of them.
+# When an endpoint dies, all its streams fail at once. With this window the
+# floor allows 30 of them to be resumed in a pool with few requests.
 DEFAULT_WINDOW_S: Final = 10.0
 
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Retries that one pool may spend.
+    """Retry budget of one pool.
 
     >>> now_s = 0.0
     >>> budget = RetryBudget(lambda: now_s, floor_per_s=0.2, window_s=5.0)
@@ -38,40 +39,40 @@
     ratio: float = DEFAULT_RATIO
     floor_per_s: float = DEFAULT_FLOOR_PER_S
     window_s: float = DEFAULT_WINDOW_S
-    # Deposits of the window, which cap what may be saved.
-    deposited: float = 0.0
-    floor_tokens: float = field(init=False)
+    # Deposits not yet spent, decayed over the window.
+    deposit_balance: float = 0.0
+    floor_balance: float = field(init=False)
     updated_s: float = field(init=False)
 
     def __post_init__(self) -> None:
-        """Start with a full floor."""
-        self.floor_tokens = self.floor_per_s * self.window_s
+        """Start with the floor at its capacity."""
+        self.floor_balance = self.floor_per_s * self.window_s
         self.updated_s = self.read_now_s()
 
     def deposit(self) -> None:
-        """Count one request that is not a retry."""
+        """Deposit the retry fraction of one request that is not a retry."""
         self.refill()
-        # The rounding makes ten deposits of a tenth one whole retry.
-        self.deposited = round(self.deposited + self.ratio, 6)
+        # Without rounding, ten deposits of 0.1 add up to less than 1.
+        self.deposit_balance = round(self.deposit_balance + self.ratio, 6)
 
     def try_spend(self) -> bool:
-        """Take one retry, or return False when none is left."""
+        """Spend one retry and return True, or False when none is left."""
         self.refill()
-        if self.deposited >= 1:
-            self.deposited -= 1
+        if self.deposit_balance >= 1:
+            self.deposit_balance -= 1
             return True
-        if self.floor_tokens >= 1:
-            self.floor_tokens -= 1
+        if self.floor_balance >= 1:
+            self.floor_balance -= 1
             return True
         return False
 
     def refill(self) -> None:
-        """Add the floor's share for the time passed; age the deposits."""
+        """Refill the floor and decay the deposits by the time elapsed."""
         now_s = self.read_now_s()
-        passed_s = max(0.0, now_s - self.updated_s)
+        elapsed_s = max(0.0, now_s - self.updated_s)
         self.updated_s = now_s
-        full = self.floor_per_s * self.window_s
-        grown = self.floor_tokens + passed_s * self.floor_per_s
-        self.floor_tokens = min(full, grown)
-        kept_share = max(0.0, 1 - passed_s / self.window_s)
-        self.deposited *= kept_share
+        floor_capacity = self.floor_per_s * self.window_s
+        refilled = self.floor_balance + elapsed_s * self.floor_per_s
+        self.floor_balance = min(floor_capacity, refilled)
+        decay = max(0.0, 1 - elapsed_s / self.window_s)
+        self.deposit_balance *= decay
