--- a/src/quetzaldyke/parts/claim_bucket.py
+++ b/src/quetzaldyke/parts/claim_bucket.py
@@ -1,7 +1,7 @@
 """Contents of one claim bucket and the operations on it.
 
-The operations are safe to repeat: each carries the id of its claim, so a
-write that was applied without our knowing is recognised in the bucket.
+The operations are idempotent: each carries the id of its claim, by which an
+earlier write whose answer was lost is recognised in the bucket.
 """
 
 from __future__ import annotations
@@ -15,12 +15,14 @@
 
 from quetzaldyke.parts.kv import Refused
 
-# The rest of the value limit is for outcomes of claims that already exist.
+# New claims and inline outcomes must keep a bucket within this size. The rest
+# of the value limit is a reserve for outcomes of claims that already exist.
 MAX_BUCKET_BYTES: Final = 900_000
-# Upper bound of what an entry takes besides its key hash and its outcome.
+# Upper bound of the encoded size of a claim without key hash and outcome.
 ENTRY_OVERHEAD_BYTES: Final = 64
-# Claims are refused at the retention's end and removed this much later, so
-# that no process whose clock is behind admits a key whose claim is gone.
+# Keys are refused after the retention period, but their claims are removed
+# only this much later, so that a process whose clock is behind does not accept
+# a key whose claim has been removed.
 PRUNE_MARGIN_MS: Final = 600_000
 
 State = Literal['claimed', 'done', 'not_run']
@@ -36,62 +38,63 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """What is known of one non-idempotent request.
+    """Stored state of one non-idempotent request.
 
-    `elsewhere` says that the outcome has a key of its own.
+    `in_own_key` means that the outcome is stored in a key of its own.
     """
 
     state: State
     claim_id: str
     created_ms: int
     outcome: bytes = b''
-    elsewhere: bool = False
+    in_own_key: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Claimed:
-    """The caller holds the claim and has to run the request."""
+    """The caller holds the claim and must run the request."""
 
     claim_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Recorded:
-    """The request ran before; this is its outcome."""
+    """An earlier attempt ran the request; this is its outcome."""
 
     outcome: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class RecordedElsewhere:
-    """The request ran before; its outcome is in a key of its own."""
+class RecordedInOwnKey:
+    """An earlier attempt ran it; the outcome is in a key of its own."""
 
     claim_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class InProgress:
-    """Another attempt holds the claim and has recorded no outcome."""
+    """Another attempt holds the claim and has not recorded an outcome."""
 
     claim_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """The outcome or the release is in the bucket."""
+    """The outcome or the release has been written to the bucket."""
 
 
 @dataclass(frozen=True, slots=True)
 class NeedsOwnKey:
-    """The outcome does not fit; it must be written to a key of its own."""
+    """The outcome does not fit and must be written to a key of its own."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimError:
     """Failure of an operation.
 
-    `not_run`: this attempt's claim was certainly not written. `unknown`:
-    it may have been written, or an earlier attempt may have run.
+    `not_run`: the claim of this attempt was certainly not written.
+    `unknown`: it may have been written, or an earlier attempt may have run
+    the request.
     """
 
     kind: ErrorKind
@@ -99,51 +102,51 @@
     detail: str = ''
 
 
-Reply = Claimed | Recorded | RecordedElsewhere | InProgress | Done | NeedsOwnKey
+Reply = Claimed | Recorded | RecordedInOwnKey | InProgress | Done | NeedsOwnKey
 Answer = Result[Reply, ClaimError]
 Claims = dict[str, Claim]
 
 
 @dataclass(slots=True, eq=False)
 class Operation:
-    """One operation that waits for its group to be written."""
+    """Operation on one claim, queued to be written with a group."""
 
     kind: Literal['claim', 'record', 'release']
     key_hash: str
     claim_id: str
     created_ms: int = 0
     outcome: bytes = b''
-    elsewhere: bool = False
-    # What the operation came to on the contents that were read last.
-    seen: Answer | None = None
-    # Whether `seen` holds only after the group has been written.
+    in_own_key: bool = False
+    # Result on the contents that were read last; final once written.
+    provisional: Answer | None = None
+    # Whether `provisional` holds only after the group has been written.
     needs_write: bool = True
     # Final result.
     answer: Answer | None = None
-    # A cancelled write may have been applied without our knowing.
+    # A write was cancelled and may have been applied.
     maybe_written: bool = False
-    # Nobody waits for it; it is tried again until it is written.
-    kept: bool = False
+    # No caller waits for the result; it is retried until written.
+    retry_until_written: bool = False
 
-    def copy_to_keep(self) -> Operation:
-        """Return a copy that is tried again without a waiting caller."""
+    def copy_for_retry(self) -> Operation:
+        """Return an unanswered copy that is retried until written."""
         return Operation(
             self.kind,
             self.key_hash,
             self.claim_id,
             self.created_ms,
             self.outcome,
-            self.elsewhere,
-            kept=True,
+            self.in_own_key,
+            retry_until_written=True,
         )
 
 
 def unpack_claims(payload: bytes) -> Claims:
-    """Decode a bucket.
+    """Decode a bucket; an empty payload has no claims.
 
     >>> unpack_claims(pack_claims({'k': Claim('claimed', 'c', 5)}))
     {'k': Claim(state='claimed', claim_id='c', created_ms=5, outcome=b'', \
-elsewhere=False)}
+in_own_key=False)}
     """
     if not payload:
         return {}
@@ -159,20 +162,20 @@
             claim.claim_id,
             claim.created_ms,
             claim.outcome,
-            claim.elsewhere,
+            claim.in_own_key,
         ]
         for key_hash, claim in claims.items()
     }
     return bytes(msgpack.packb(rows))
 
 
-def expired(claims: Claims, now_ms: int, retention_ms: int) -> list[str]:
-    """Return the keys whose claims may be removed."""
-    limit_ms = now_ms - retention_ms - PRUNE_MARGIN_MS
+def expired_keys(claims: Claims, now_ms: int, retention_ms: int) -> list[str]:
+    """Return the key hashes of the claims that may be removed."""
+    oldest_ms = now_ms - retention_ms - PRUNE_MARGIN_MS
     return [
         key_hash
         for key_hash, claim in claims.items()
-        if claim.created_ms < limit_ms
+        if claim.created_ms < oldest_ms
     ]
 
 
@@ -182,30 +185,34 @@
     now_ms: int,
     retention_ms: int,
 ) -> bytes | Refused[str]:
-    """Apply operations in order; refuses the write when nothing changes."""
+    """Apply operations in order and return the new encoded bucket.
+
+    Sets the provisional result of each operation. Refuses the write if no
+    operation needs it; expired claims are removed only along with a write.
+    """
     claims = unpack_claims(payload)
     removed = False
-    for key_hash in expired(claims, now_ms, retention_ms):
+    for key_hash in expired_keys(claims, now_ms, retention_ms):
         # Outcomes in keys of their own are deleted before their claims.
-        if not claims[key_hash].elsewhere:
+        if not claims[key_hash].in_own_key:
             claims.pop(key_hash)
             removed = True
     size = len(pack_claims(claims)) if removed else len(payload)
-    touched: set[str] = set()
+    changed_keys: set[str] = set()
     for operation in group:
-        size += apply_one(operation, claims, size)
-        # What follows from an operation of this group is not durable
-        # before the group is.
-        operation.needs_write |= operation.key_hash in touched
+        size += apply_operation(operation, claims, size)
+        # A result that depends on an earlier operation of this group is
+        # not durable until the group has been written.
+        operation.needs_write |= operation.key_hash in changed_keys
         if operation.needs_write:
-            touched.add(operation.key_hash)
+            changed_keys.add(operation.key_hash)
     if any(operation.needs_write for operation in group):
         return pack_claims(claims)
     return Refused('nothing to write')
 
 
-def apply_one(operation: Operation, claims: Claims, size: int) -> int:
-    """Apply one operation; returns the bytes by which the bucket grows."""
+def apply_operation(operation: Operation, claims: Claims, size: int) -> int:
+    """Apply one operation; return the bytes by which the bucket grows."""
     match operation.kind:
         case 'claim':
             return apply_claim(operation, claims, size)
@@ -216,81 +223,93 @@
             return 0
 
 
-def see(operation: Operation, seen: Answer, needs_write: bool) -> None:
-    """Note what an operation came to."""
-    operation.seen = seen
+def set_provisional(
+    operation: Operation, provisional: Answer, needs_write: bool
+) -> None:
+    """Set the provisional result of an operation."""
+    operation.provisional = provisional
     operation.needs_write = needs_write
 
 
 def apply_claim(operation: Operation, claims: Claims, size: int) -> int:
-    """Claim a key that is free or whose claimant did not run it."""
-    held = claims.get(operation.key_hash)
-    if held is not None and held.claim_id == operation.claim_id:
-        see(operation, Ok(Claimed(held.claim_id)), needs_write=False)
+    """Claim a key that has no claim or a released one.
+
+    Returns the bytes by which the bucket grows.
+    """
+    existing = claims.get(operation.key_hash)
+    if existing is not None and existing.claim_id == operation.claim_id:
+        set_provisional(
+            operation, Ok(Claimed(existing.claim_id)), needs_write=False
+        )
         return 0
-    if held is not None and held.state != 'not_run':
-        see(operation, Ok(found(held)), needs_write=False)
+    if existing is not None and existing.state != 'not_run':
+        set_provisional(operation, Ok(reply_to(existing)), needs_write=False)
         return 0
-    growth = 0 if held else len(operation.key_hash) + ENTRY_OVERHEAD_BYTES
+    growth = 0 if existing else len(operation.key_hash) + ENTRY_OVERHEAD_BYTES
     if size + growth > MAX_BUCKET_BYTES:
         full = ClaimError('not_run', 'bucket_full', f'{size} bytes')
-        see(operation, Err(full), needs_write=False)
+        set_provisional(operation, Err(full), needs_write=False)
         return 0
     claims[operation.key_hash] = Claim(
         'claimed',
         operation.claim_id,
         operation.created_ms,
     )
-    see(operation, Ok(Claimed(operation.claim_id)), needs_write=True)
+    set_provisional(
+        operation, Ok(Claimed(operation.claim_id)), needs_write=True
+    )
     return growth
 
 
-def found(held: Claim) -> Reply:
-    """Return what a claim of another attempt means."""
-    if held.state != 'done':
-        return InProgress(held.claim_id)
-    if held.elsewhere:
-        return RecordedElsewhere(held.claim_id)
-    return Recorded(held.outcome)
+def reply_to(existing: Claim) -> Reply:
+    """Return the reply to a caller that finds another attempt's claim."""
+    if existing.state != 'done':
+        return InProgress(existing.claim_id)
+    if existing.in_own_key:
+        return RecordedInOwnKey(existing.claim_id)
+    return Recorded(existing.outcome)
 
 
 def apply_record(operation: Operation, claims: Claims, size: int) -> int:
-    """Record the outcome of the caller's own claim."""
-    held = claims.get(operation.key_hash)
-    if held is None or held.claim_id != operation.claim_id:
+    """Record the outcome of the caller's own claim.
+
+    Returns the bytes by which the bucket grows.
+    """
+    existing = claims.get(operation.key_hash)
+    if existing is None or existing.claim_id != operation.claim_id:
         lost = ClaimError('unknown', 'claim_lost', operation.key_hash)
-        see(operation, Err(lost), needs_write=False)
+        set_provisional(operation, Err(lost), needs_write=False)
         return 0
-    if held.state == 'done':
-        see(operation, Ok(Done()), needs_write=False)
+    if existing.state == 'done':
+        set_provisional(operation, Ok(Done()), needs_write=False)
         return 0
     growth = len(operation.outcome)
     if growth and size + growth > MAX_BUCKET_BYTES:
-        see(operation, Ok(NeedsOwnKey()), needs_write=False)
+        set_provisional(operation, Ok(NeedsOwnKey()), needs_write=False)
         return 0
     claims[operation.key_hash] = Claim(
         'done',
-        held.claim_id,
-        held.created_ms,
+        existing.claim_id,
+        existing.created_ms,
         operation.outcome,
-        operation.elsewhere,
+        operation.in_own_key,
     )
-    see(operation, Ok(Done()), needs_write=True)
+    set_provisional(operation, Ok(Done()), needs_write=True)
     return growth
 
 
 def apply_release(operation: Operation, claims: Claims) -> None:
     """Mark the caller's own claim as certainly not run.
 
-    Always written, also when the claim is absent: the write moves the
-    revision on, and a claim still in flight can't be applied afterwards.
+    A write is needed even if the claim is absent: it changes the revision,
+    so that a claim still in flight can't be applied afterwards.
     """
-    held = claims.get(operation.key_hash)
-    if held is not None and held.claim_id == operation.claim_id:
-        if held.state == 'claimed':
+    existing = claims.get(operation.key_hash)
+    if existing is not None and existing.claim_id == operation.claim_id:
+        if existing.state == 'claimed':
             claims[operation.key_hash] = Claim(
                 'not_run',
-                held.claim_id,
-                held.created_ms,
+                existing.claim_id,
+                existing.created_ms,
             )
-    see(operation, Ok(Done()), needs_write=True)
+    set_provisional(operation, Ok(Done()), needs_write=True)
--- a/src/quetzaldyke/parts/claim_groups.py
+++ b/src/quetzaldyke/parts/claim_groups.py
@@ -1,7 +1,8 @@
 """Group commit of claim operations: many share one write to a bucket.
 
-While one write is under way the next operations gather. Whoever finds no
-write under way writes for all that wait, so there is no task to run.
+While a write is in progress, further operations queue up. A caller that finds
+no write in progress writes all queued operations itself, so no background
+task is needed.
 """
 
 from __future__ import annotations
@@ -29,25 +30,25 @@
 )
 
 BUCKETS: Final = 64
-MAX_GROUP: Final = 500
-# A service that hangs is given up after this; the retries of `swap` alone
-# would keep a caller waiting for half a minute.
-COMMIT_LIMIT_S: Final = 5.0
-# Memory for outcomes and releases that could not be written; beyond it they
-# are dropped, their claims stay claimed, and later attempts get `unknown`.
-MAX_KEPT_BYTES: Final = 16_777_216
-KEPT_OVERHEAD_BYTES: Final = 512
+MAX_GROUP_SIZE: Final = 500
+# Limits the wait for a service that hangs; with the retries of `swap` alone
+# a caller would wait for half a minute.
+COMMIT_TIMEOUT_S: Final = 5.0
+# Memory for outcomes and releases that could not be written. Beyond it they
+# are dropped: their claims stay claimed, and later attempts get `unknown`.
+MAX_RETRY_QUEUE_BYTES: Final = 16_777_216
+RETRY_OVERHEAD_BYTES: Final = 512
 
 GroupResult = Result[Stored, KvError | Refused[str]]
 
 
 def bucket_key(number: int) -> str:
-    """Return the store's key of a bucket."""
+    """Return the store key of a bucket."""
     return f'claims/{number}'
 
 
 def bucket_of(key_hash: str) -> int:
-    """Return the bucket of a key.
+    """Return the number of the bucket that holds the claim of a key.
 
     >>> bucket_of('ab12') == bucket_of('ab12')
     True
@@ -58,30 +59,30 @@
 
 @dataclass(slots=True)
 class Bucket:
-    """Operations of one bucket that wait to be written."""
+    """Queue of the operations on one bucket."""
 
     number: int
     pending: list[Operation] = field(default_factory=list)
     writing: bool = False
-    # Set and replaced whenever a write ends.
-    written: anyio.Event | None = None
+    # Set when the current write ends, then discarded; None without waiters.
+    write_ended: anyio.Event | None = None
 
-    def wait_event(self) -> anyio.Event:
-        """Return the event that the end of the write sets."""
-        if self.written is None:
-            self.written = anyio.Event()
-        return self.written
+    def write_ended_event(self) -> anyio.Event:
+        """Return the event that is set when the current write ends."""
+        if self.write_ended is None:
+            self.write_ended = anyio.Event()
+        return self.write_ended
 
     def end_write(self) -> None:
-        """Let the next writer go."""
+        """Wake the callers that wait for the end of the write."""
         self.writing = False
-        if self.written is not None:
-            self.written.set()
-            self.written = None
+        if self.write_ended is not None:
+            self.write_ended.set()
+            self.write_ended = None
 
 
 def make_buckets() -> list[Bucket]:
-    """Return all buckets, with nothing pending."""
+    """Return all buckets with empty queues."""
     return [Bucket(number) for number in range(BUCKETS)]
 
 
@@ -92,14 +93,14 @@
     store: KeyValueStore
     retention_ms: int
     now_ms: Callable[[], int]
-    # Operations that arrive within this time share the first write too.
-    gather_s: float
+    # Delay before each write, in which further operations can join it.
+    commit_delay_s: float
     buckets: list[Bucket] = field(default_factory=make_buckets)
-    # Group writes that were tried, for metrics.
-    groups: int = 0
+    # Number of group writes attempted, for metrics.
+    group_writes: int = 0
 
     async def retry_failed_writes(self) -> None:
-        """Write outcomes and releases that could not be written before.
+        """Retry the outcomes and releases whose writes failed.
 
         Stops at the first bucket whose write fails again.
         """
@@ -107,73 +108,81 @@
             if not bucket.pending or bucket.writing:
                 continue
             await self.write_group(bucket)
-            if any(operation.kept for operation in bucket.pending):
+            if any(
+                operation.retry_until_written for operation in bucket.pending
+            ):
                 return
 
-    def kept_bytes(self) -> int:
-        """Return the size of the operations kept to be retried."""
+    def retry_queue_bytes(self) -> int:
+        """Return the memory used by operations that await a retry."""
         return sum(
-            len(operation.outcome) + KEPT_OVERHEAD_BYTES
+            len(operation.outcome) + RETRY_OVERHEAD_BYTES
             for bucket in self.buckets
             for operation in bucket.pending
-            if operation.kept
+            if operation.retry_until_written
         )
 
     async def submit(self, operation: Operation) -> Answer:
-        """Have an operation written with the next group of its bucket.
+        """Write an operation with the next group of its bucket.
 
-        Whoever finds no write under way writes for all that wait.
+        Returns its final result. The first caller that finds no write in
+        progress writes the whole queue.
         """
         bucket = self.buckets[bucket_of(operation.key_hash)]
         bucket.pending.append(operation)
         try:
             while operation.answer is None:
                 if bucket.writing:
-                    await bucket.wait_event().wait()
+                    await bucket.write_ended_event().wait()
                 else:
                     await self.write_group(bucket)
         except BaseException:
-            give_up(bucket, operation)
+            withdraw(bucket, operation)
             raise
-        if may_hold(operation):
-            bucket.pending.append(release_of(operation))
+        if may_be_stored(operation):
+            bucket.pending.append(make_release(operation))
         return operation.answer
 
     async def write_group(self, bucket: Bucket) -> None:
-        """Write what is pending in a bucket by one compare-and-swap."""
+        """Write up to `MAX_GROUP_SIZE` queued operations by one swap."""
         bucket.writing = True
         group: list[Operation] = []
         try:
-            await anyio.sleep(self.gather_s)
-            group = bucket.pending[:MAX_GROUP]
-            bucket.pending = bucket.pending[MAX_GROUP:]
+            await anyio.sleep(self.commit_delay_s)
+            group = bucket.pending[:MAX_GROUP_SIZE]
+            bucket.pending = bucket.pending[MAX_GROUP_SIZE:]
             if group:
-                self.groups += 1
+                self.group_writes += 1
                 outcome = await self.swap_group(bucket.number, group)
                 answer_group(group, outcome)
-                self.keep_failed(bucket, group)
+                self.requeue_failed(bucket, group)
         finally:
-            put_back(bucket, group)
+            requeue_unanswered(bucket, group)
             bucket.end_write()
 
-    def keep_failed(self, bucket: Bucket, group: Sequence[Operation]) -> None:
-        """Queue outcomes and releases again whose write failed."""
-        room = MAX_KEPT_BYTES - self.kept_bytes()
+    def requeue_failed(
+        self, bucket: Bucket, group: Sequence[Operation]
+    ) -> None:
+        """Queue outcomes and releases again if the store failed.
+
+        Those beyond `MAX_RETRY_QUEUE_BYTES` are dropped.
+        """
+        free_bytes = MAX_RETRY_QUEUE_BYTES - self.retry_queue_bytes()
         for operation in group:
-            room -= len(operation.outcome) + KEPT_OVERHEAD_BYTES
+            free_bytes -= len(operation.outcome) + RETRY_OVERHEAD_BYTES
             if (
                 operation.kind != 'claim'
                 and store_failed(operation)
-                and room > 0
+                and free_bytes > 0
             ):
-                bucket.pending.append(operation.copy_to_keep())
+                bucket.pending.append(operation.copy_for_retry())
 
     async def swap_group(
         self,
         number: int,
         group: Sequence[Operation],
     ) -> GroupResult:
-        """Apply a group to the stored bucket."""
+        """Apply a group to the stored bucket, within `COMMIT_TIMEOUT_S`."""
 
         def change(payload: bytes) -> bytes | Refused[str]:
             return apply_group(
@@ -183,44 +192,50 @@
                 self.retention_ms,
             )
 
-        with anyio.move_on_after(COMMIT_LIMIT_S):
+        with anyio.move_on_after(COMMIT_TIMEOUT_S):
             return await swap(self.store, bucket_key(number), change)
-        # Nothing was sent to be written before `change` was called.
-        if any(operation.seen is not None for operation in group):
-            return Err(KvError('unknown', 'no answer within the limit'))
-        return Err(KvError('unavailable', 'no answer within the limit'))
+        # No write was sent before `change` was called.
+        if any(operation.provisional is not None for operation in group):
+            return Err(KvError('unknown', 'no answer before the timeout'))
+        return Err(KvError('unavailable', 'no answer before the timeout'))
 
 
 def answer_group(
     group: Sequence[Operation],
     outcome: GroupResult,
 ) -> None:
-    """Set the answers of a group after its write."""
+    """Set the final result of each operation of a group."""
     failed = isinstance(outcome, Err) and isinstance(
         outcome.err_value,
         KvError,
     )
     for operation in group:
-        if operation.seen is None or (failed and operation.needs_write):
+        if operation.provisional is None or (failed and operation.needs_write):
             error = outcome.err_value if isinstance(outcome, Err) else None
-            # An unread bucket may hold the claim of an earlier attempt,
-            # which may have run the request.
-            doubtful = operation.maybe_written or operation.seen is None
-            operation.answer = Err(store_error(error, doubtful))
+            # If the bucket could not be read, it may hold the claim of an
+            # earlier attempt that ran the request.
+            uncertain = operation.maybe_written or operation.provisional is None
+            operation.answer = Err(store_error(error, uncertain))
         else:
-            operation.answer = operation.seen
+            operation.answer = operation.provisional
+
 
+def store_error(error: object, uncertain: bool) -> ClaimError:
+    """Return the error for a failed write.
 
-def store_error(error: object, doubtful: bool) -> ClaimError:
-    """Return what a failed write means for the request."""
-    certain = isinstance(error, KvError) and error.kind != 'unknown'
-    if certain and not doubtful:
+    It is `not_run` if the claim was certainly not written, else `unknown`.
+    """
+    not_applied = isinstance(error, KvError) and error.kind != 'unknown'
+    if not_applied and not uncertain:
         return ClaimError('not_run', 'store_failed', str(error))
     return ClaimError('unknown', 'store_failed', str(error))
 
 
-def put_back(bucket: Bucket, group: Sequence[Operation]) -> None:
-    """Queue operations again whose writer was cancelled."""
+def requeue_unanswered(bucket: Bucket, group: Sequence[Operation]) -> None:
+    """Queue the unanswered operations again, before all others.
+
+    An operation has no answer if the task that wrote it was cancelled.
+    """
     unanswered = [one for one in group if one.answer is None]
     for operation in unanswered:
         operation.maybe_written = True
@@ -233,22 +248,22 @@
     return isinstance(answer, Err) and answer.err_value.code == 'store_failed'
 
 
-def release_of(operation: Operation) -> Operation:
-    """Return the release of a claim that nobody will use."""
+def make_release(operation: Operation) -> Operation:
+    """Return an operation that releases an abandoned claim."""
     return Operation(
         'release',
         operation.key_hash,
         operation.claim_id,
-        kept=True,
+        retry_until_written=True,
     )
 
 
-def give_up(bucket: Bucket, operation: Operation) -> None:
-    """Withdraw a claim whose caller has gone.
+def withdraw(bucket: Bucket, operation: Operation) -> None:
+    """Withdraw a claim whose caller was cancelled.
 
-    One that may be written is released with the next group of the bucket,
-    because its attempt certainly does not run the request. Outcomes and
-    releases stay queued.
+    A claim that may have been written is released with the next group of the
+    bucket, because its attempt certainly does not run the request. Outcomes
+    and releases stay queued.
     """
     if operation.kind != 'claim':
         return
@@ -256,11 +271,11 @@
     if queued:
         bucket.pending.remove(operation)
     if operation.maybe_written or not queued:
-        bucket.pending.append(release_of(operation))
+        bucket.pending.append(make_release(operation))
 
 
-def may_hold(operation: Operation) -> bool:
-    """Tell whether a claim that failed may be in the store all the same."""
+def may_be_stored(operation: Operation) -> bool:
+    """Tell whether a failed claim may have been stored nevertheless."""
     answer = operation.answer
     if operation.kind != 'claim' or not isinstance(answer, Err):
         return False
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Tests of the claim ledger: at most one run, truthful refusals."""
+"""Tests of the claim ledger: at most one run, correct error kinds."""
 
 from __future__ import annotations
 
@@ -25,25 +25,27 @@
 
 
 def make_ledger(store: FaultyStore, now_ms: int = NOW_MS) -> claims.ClaimLedger:
-    """Return a ledger at a fixed time."""
-    return claims.ClaimLedger(store, RETENTION_MS, lambda: now_ms, gather_s=0)
+    """Return a ledger whose clock stands at the given time."""
+    return claims.ClaimLedger(
+        store, RETENTION_MS, lambda: now_ms, commit_delay_s=0
+    )
 
 
 def run(steps: Callable[[FaultyStore], Awaitable[T]]) -> T:
-    """Run a test on a new store, without pauses between retries."""
+    """Run a test on a new store, without delays between retries."""
 
     async def main() -> T:
         return await steps(FaultyStore())
 
     with (
         mock.patch.object(kv, 'RETRY_PAUSE_S', 0),
-        mock.patch.object(claim_groups, 'COMMIT_LIMIT_S', 0.5),
+        mock.patch.object(claim_groups, 'COMMIT_TIMEOUT_S', 0.5),
     ):
         return anyio.run(main)
 
 
 async def claimed(ledger: claims.ClaimLedger, key: str = 'k') -> str:
-    """Claim a key that is free; returns the claim's id."""
+    """Claim a free key and return the id of the claim."""
     answer = await ledger.claim(key, NOW_MS)
     assert isinstance(answer, Ok)
     assert isinstance(answer.ok_value, Claimed)
@@ -52,7 +54,7 @@
 
 @pytest.mark.parametrize('outcome', [b'', b'small', BIG, BIG * 50])
 def test_resend_through_another_entry(outcome: bytes) -> None:
-    """Guards against outcomes that only their own entry can give back."""
+    """Guards against outcomes that only the recording entry can return."""
 
     async def steps(store: FaultyStore) -> object:
         claim_id = await claimed(make_ledger(store))
@@ -63,7 +65,7 @@
 
 
 def test_release_frees_the_key() -> None:
-    """Guards against a resend that is refused after a certain not_run."""
+    """Guards against refusing a resend after a release."""
 
     async def steps(store: FaultyStore) -> tuple[str, str]:
         first = await claimed(make_ledger(store))
@@ -76,7 +78,7 @@
 
 @pytest.mark.parametrize('act', ['release', 'record'])
 def test_only_the_claimant_changes_a_claim(act: str) -> None:
-    """Guards against a stale attempt that frees or fills a new claim."""
+    """Guards against a stale attempt that changes a newer claim."""
 
     async def steps(store: FaultyStore) -> object:
         ledger = make_ledger(store)
@@ -107,12 +109,12 @@
         ([], ['hang'], 'unknown'),
     ],
 )
-def test_outage_is_told_truthfully(
+def test_outage_gives_the_right_error_kind(
     reads: list[str],
     writes: list[str],
     kind: str,
 ) -> None:
-    """Guards against refusals that claim more than is known."""
+    """Guards against `not_run` for a claim that may have been written."""
 
     async def steps(store: FaultyStore) -> tuple[str, object]:
         ledger = make_ledger(store)
@@ -129,7 +131,7 @@
 
 
 def test_release_keeps_an_outcome() -> None:
-    """Guards against a second run after a late release."""
+    """Guards against a second run after a release that follows a record."""
 
     async def steps(store: FaultyStore) -> object:
         ledger = make_ledger(store)
@@ -141,8 +143,8 @@
     assert run(steps) == Ok(Recorded(b'booked'))
 
 
-def test_second_claim_is_not_told_of_an_unwritten_one() -> None:
-    """Guards against `in progress` for a claim that was never written."""
+def test_second_claim_does_not_see_an_unwritten_one() -> None:
+    """Guards against `InProgress` for a claim that was never written."""
 
     async def steps(store: FaultyStore) -> list[str]:
         ledger = make_ledger(store)
@@ -162,23 +164,23 @@
 
 @pytest.mark.parametrize('fault', ['cancel', 'cancel_after'])
 @pytest.mark.parametrize(
-    ('victim', 'outage', 'ended'),
+    ('cancelled', 'outage', 'expected'),
     [
         ('first', False, ['first cancelled', 'second Claimed']),
-        # The second claim may be written, and can't be read back.
+        # The second claim may have been written and can't be read back.
         ('first', True, ['first cancelled', 'second unknown']),
         ('second', False, ['first Claimed', 'second cancelled']),
     ],
 )
 def test_cancel_during_a_write(
     fault: str,
-    victim: str,
+    cancelled: str,
     outage: bool,
-    ended: list[str],
+    expected: list[str],
 ) -> None:
-    """Guards against a cancelled caller that harms its group's others.
+    """Guards against a cancelled caller that fails others in its group.
 
-    The first caller writes for both; the claim of a cancelled one is
+    The first caller writes for both. The claim of a cancelled caller is
     released.
     """
 
@@ -186,49 +188,49 @@
         ledger = make_ledger(store)
         store.plan(['ok', *['unavailable'] * 16 * outage], [fault])
         scopes = {'first': anyio.CancelScope(), 'second': anyio.CancelScope()}
-        seen: list[str] = []
+        results: list[str] = []
 
         async def one_claim(key: str) -> None:
-            current_scope.set(scopes[victim])
+            current_scope.set(scopes[cancelled])
             with scopes[key]:
                 answer = await ledger.claim(key, NOW_MS)
                 if isinstance(answer, Err):
-                    seen.append(f'{key} {answer.err_value.kind}')
+                    results.append(f'{key} {answer.err_value.kind}')
                 else:
-                    seen.append(f'{key} {type(answer.ok_value).__name__}')
+                    results.append(f'{key} {type(answer.ok_value).__name__}')
             if scopes[key].cancelled_caught:
-                seen.append(f'{key} cancelled')
+                results.append(f'{key} cancelled')
 
         async with anyio.create_task_group() as group:
             group.start_soon(one_claim, 'first')
             group.start_soon(one_claim, 'second')
         await ledger.retry_failed_writes()
         for key in scopes:
-            if f'{key} Claimed' not in seen:
+            if f'{key} Claimed' not in results:
                 await claimed(make_ledger(store), key)
-        return sorted(seen)
+        return sorted(results)
 
     with mock.patch.object(claim_groups, 'BUCKETS', 1):
-        assert run(steps) == ended
+        assert run(steps) == expected
 
 
-def test_large_outcome_is_stored_before_it_is_named() -> None:
-    """Guards against a record that names an outcome that is not there."""
+def test_large_outcome_is_stored_before_the_reference() -> None:
+    """Guards against a recorded claim whose outcome is not stored."""
 
     async def steps(store: FaultyStore) -> object:
         ledger = make_ledger(store)
         claim_id = await claimed(ledger)
         store.plan([], ['unavailable'] * 16)
         assert (await ledger.record('k', claim_id, BIG)).is_err()
-        held = await make_ledger(store).claim('k', NOW_MS)
-        return held == Ok(InProgress(claim_id))
+        reply = await make_ledger(store).claim('k', NOW_MS)
+        return reply == Ok(InProgress(claim_id))
 
     assert run(steps)
 
 
 @pytest.mark.parametrize('outcome', [b'booked', BIG])
 def test_lost_answers_to_records(outcome: bytes) -> None:
-    """Guards against an outcome that is lost with the write's answer."""
+    """Guards against losing an outcome when the write's answer is lost."""
 
     async def steps(store: FaultyStore) -> object:
         ledger = make_ledger(store)
@@ -241,7 +243,7 @@
 
 
 def test_failed_record_is_written_later() -> None:
-    """Guards against outcomes that are lost in an outage."""
+    """Guards against losing outcomes in an outage of the store."""
 
     async def steps(store: FaultyStore) -> object:
         ledger = make_ledger(store)
@@ -249,17 +251,17 @@
         store.plan(['unavailable'] * 32, [])
         assert (await ledger.record('k', claim_id, b'booked')).is_err()
         await ledger.retry_failed_writes()
-        assert ledger.writer.kept_bytes() > 0
+        assert ledger.writer.retry_queue_bytes() > 0
         store.plan([], [])
         await ledger.retry_failed_writes()
-        assert ledger.writer.kept_bytes() == 0
+        assert ledger.writer.retry_queue_bytes() == 0
         return await make_ledger(store).claim('k', NOW_MS)
 
     assert run(steps) == Ok(Recorded(b'booked'))
 
 
-def test_kept_outcomes_are_bounded() -> None:
-    """Guards against an outage that fills the memory with outcomes."""
+def test_retry_queue_is_bounded() -> None:
+    """Guards against unbounded memory use in an outage of the store."""
 
     async def steps(store: FaultyStore) -> int:
         ledger = make_ledger(store)
@@ -267,34 +269,34 @@
         store.plan(['unavailable'] * 1000, [])
         for key, claim_id in ids.items():
             await ledger.record(key, claim_id, b'x' * 1000)
-        return ledger.writer.kept_bytes()
+        return ledger.writer.retry_queue_bytes()
 
-    with mock.patch.object(claim_groups, 'MAX_KEPT_BYTES', 5000):
+    with mock.patch.object(claim_groups, 'MAX_RETRY_QUEUE_BYTES', 5000):
         assert 0 < run(steps) < 5000
 
 
 def test_full_bucket_refuses_and_still_records() -> None:
-    """Guards against a bucket that grows past the value limit."""
+    """Guards against a bucket that grows beyond the value limit."""
     limit = 3000
 
     async def steps(store: FaultyStore) -> list[str]:
         ledger = make_ledger(store)
         ids: dict[str, str] = {}
-        seen: list[str] = []
+        results: list[str] = []
         for number in range(100):
             answer = await ledger.claim(f'{number:064}', NOW_MS)
             if isinstance(answer, Err):
                 assert answer.err_value.kind == 'not_run'
-                seen.append(answer.err_value.code)
+                results.append(answer.err_value.code)
             elif isinstance(answer.ok_value, Claimed):
                 ids[f'{number:064}'] = answer.ok_value.claim_id
         for key, claim_id in ids.items():
             assert (await ledger.record(key, claim_id, b'y' * 500)).is_ok()
         for key in ids:
-            held = await make_ledger(store).claim(key, NOW_MS)
-            assert held == Ok(Recorded(b'y' * 500))
+            reply = await make_ledger(store).claim(key, NOW_MS)
+            assert reply == Ok(Recorded(b'y' * 500))
         assert len(store.records['claims/0'].value) < limit + 1000
-        return seen
+        return results
 
     with (
         mock.patch.object(claim_groups, 'BUCKETS', 1),
@@ -313,7 +315,7 @@
     ],
 )
 def test_age_of_keys(age_ms: int, code: str) -> None:
-    """Guards against a second run after a claim was removed."""
+    """Guards against a second run after the claim has been removed."""
 
     async def steps(store: FaultyStore) -> str:
         answer = await make_ledger(store).claim('k', NOW_MS - age_ms)
@@ -328,7 +330,7 @@
 @pytest.mark.parametrize('outcome', [b'small', BIG])
 @pytest.mark.parametrize('early', [True, False])
 def test_pruning(outcome: bytes, early: bool) -> None:
-    """Guards against claims that go too soon, and leftovers."""
+    """Guards against claims removed too early, and orphaned outcomes."""
     end_ms = NOW_MS + RETENTION_MS + claim_bucket.PRUNE_MARGIN_MS
 
     async def steps(store: FaultyStore) -> tuple[int, int]:
@@ -341,12 +343,12 @@
         left = len(claim_bucket.unpack_claims(stored.payload))
         return removed, left + ('outcomes/k' in store.records)
 
-    here = 1 if outcome != BIG else 2
-    assert run(steps) == ((0, here) if early else (1, 0))
+    stored_count = 1 if outcome != BIG else 2
+    assert run(steps) == ((0, stored_count) if early else (1, 0))
 
 
 def test_waits_for_the_outcome() -> None:
-    """Guards against an early `in progress` while the outcome arrives."""
+    """Guards against `InProgress` before the wait for an outcome ends."""
 
     async def steps(store: FaultyStore) -> object:
         ledger = make_ledger(store)
@@ -368,7 +370,7 @@
 
 
 def test_concurrent_claims_share_writes() -> None:
-    """Guards against one write for each claim."""
+    """Guards against a separate write for each claim."""
 
     async def steps(store: FaultyStore) -> tuple[int, int]:
         ledger = make_ledger(store)
--- a/tests/test_claims_sockets.py
+++ b/tests/test_claims_sockets.py
@@ -1,8 +1,8 @@
-"""Concurrent claims over sockets while the key-value service fails.
+"""Tests of concurrent claims over sockets while the key-value service fails.
 
-The history of all attempts is checked: a key is run at most once, an
-acknowledged outcome is what every later attempt gets, and the revision of
-a bucket never goes back.
+The history of all attempts is checked: each request runs at most once, every
+later attempt gets the acknowledged outcome, and the revision of a bucket never
+decreases.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
     'none': {},
     'lost': {'lose_answers_ratio': 0.3},
     'dropped': {'drop_ratio': 0.3},
-    # Longer than the client waits: writes are applied after it gave up.
+    # Above the client timeout: writes are applied after the client gave up.
     'late': {'delay_s': 0.13, 'delay_ratio': 0.3},
     'all': {
         'lose_answers_ratio': 0.15,
@@ -46,28 +46,28 @@
 
 @dataclass(slots=True)
 class Run:
-    """One concurrent run and what was seen in it."""
+    """One concurrent run with its history and counts of replies."""
 
     seed: int
     ledgers: list[ClaimLedger]
     history: History = field(default_factory=History)
-    seen: Counter[str] = field(default_factory=Counter)
-    working: int = WORKERS
-    # Whether the run has met the outage that it is to meet.
+    reply_counts: Counter[str] = field(default_factory=Counter)
+    active_workers: int = WORKERS
+    # Whether the first planned outage is over.
     outage_over: bool = True
 
     async def work(self, number: int) -> None:
         """Make attempts on random keys through random entries."""
         source = random.Random(self.seed * 1000 + number)
         for _ in range(ATTEMPTS):
-            await self.attempt_any(source)
-        # A fast machine is done before the first outage begins.
+            await self.attempt_random(source)
+        # On a fast machine the attempts end before the first outage begins.
         while not self.outage_over:
-            await self.attempt_any(source)
-        self.working -= 1
+            await self.attempt_random(source)
+        self.active_workers -= 1
 
-    async def attempt_any(self, source: random.Random) -> None:
-        """Claim some key at some entry."""
+    async def attempt_random(self, source: random.Random) -> None:
+        """Claim a random key through a random entry."""
         await self.attempt(
             source.choice(self.ledgers),
             source.choice(KEYS),
@@ -80,15 +80,15 @@
         key: str,
         chance: float,
     ) -> None:
-        """Claim a key and, if it is ours, run and record it."""
+        """Claim a key and, if claimed, run the request and record it."""
         read = self.history.begin('read', key)
         answer = await ledger.claim(key, now_ms())
         if isinstance(answer, Err):
-            self.seen[answer.err_value.kind] += 1
+            self.reply_counts[answer.err_value.kind] += 1
             self.history.operations.remove(read)
             return
         reply = answer.ok_value
-        self.seen[type(reply).__name__] += 1
+        self.reply_counts[type(reply).__name__] += 1
         read.value = reply.outcome if isinstance(reply, Recorded) else None
         self.history.finish(read)
         if not isinstance(reply, Claimed):
@@ -107,8 +107,8 @@
             self.history.finish(write)
 
     async def read_revisions(self, store: HttpKeyValueStore) -> None:
-        """Read the revisions of the buckets all the time."""
-        while self.working:
+        """Read the revisions of some buckets until all workers are done."""
+        while self.active_workers:
             for key in KEYS[:4]:
                 name = bucket_key(bucket_of(key))
                 read = self.history.begin('read', name)
@@ -120,31 +120,31 @@
                 read.revision = record.revision if record else 0
                 self.history.finish(read)
 
-    async def fail_sometimes(self, kv: KvStandin, outages: bool) -> None:
-        """Take the service down now and then."""
-        while self.working and outages:
+    async def cause_outages(self, kv: KvStandin, outages: bool) -> None:
+        """Repeat short outages of the service until all workers are done."""
+        while self.active_workers and outages:
             await anyio.sleep(0.15)
             kv.faults.down = True
-            # Longer than the retries of one write.
+            # Longer than all retries of one write.
             await anyio.sleep(0.6)
             kv.faults.down = False
             self.outage_over = True
 
     async def check_end(self, kv: KvStandin) -> None:
-        """End all faults and check what every entry now says of the keys."""
+        """End all faults and check the reply of every entry for each key."""
         for name in ('lose_answers_ratio', 'drop_ratio', 'delay_s'):
             setattr(kv.faults, name, 0)
-        # Writes on their way arrive.
+        # Lets delayed writes arrive.
         await anyio.sleep(0.2)
         for ledger in self.ledgers:
             await ledger.retry_failed_writes()
-            assert ledger.writer.kept_bytes() == 0
+            assert ledger.writer.retry_queue_bytes() == 0
         run_keys = {one.key for one in self.history.named('run')}
         for key in KEYS:
             for ledger in self.ledgers:
                 read = self.history.begin('read', key)
                 reply = (await ledger.claim(key, now_ms())).unwrap()
-                # Claims of attempts that were given up are free again.
+                # Claims of attempts that did not run have been released.
                 kind = Recorded | InProgress if key in run_keys else Claimed
                 assert isinstance(reply, kind)
                 if isinstance(reply, Claimed):
@@ -173,7 +173,7 @@
             for number in range(WORKERS):
                 workers.start_soon(run.work, number)
             workers.start_soon(run.read_revisions, stores[0])
-            workers.start_soon(run.fail_sometimes, kv, outages)
+            workers.start_soon(run.cause_outages, kv, outages)
         await run.check_end(kv)
         group.cancel_scope.cancel()
     return run
@@ -188,11 +188,11 @@
     ],
 )
 def test_claims_under_faults(name: str, outages: bool) -> None:
-    """Guards against doubled runs and lost outcomes under real faults."""
+    """Guards against duplicate runs and lost outcomes over sockets."""
     run = anyio.run(run_with, FAULTS[name], outages, 7)
     check(run.history)
-    # The run has met the cases that it is about.
-    assert run.seen['Claimed']
-    assert run.seen['Recorded']
+    # The run must have covered the cases under test.
+    assert run.reply_counts['Claimed']
+    assert run.reply_counts['Recorded']
     if outages:
-        assert run.seen['unknown'] + run.seen['not_run']
+        assert run.reply_counts['unknown'] + run.reply_counts['not_run']
--- a/tests/test_claims_stateful.py
+++ b/tests/test_claims_stateful.py
@@ -1,4 +1,4 @@
-"""Stateful test of the claim ledger: entries, faults, crashes, cancels."""
+"""Stateful test of the claim ledger under faults, crashes and cancellations."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 NOW_MS = 1_000_000_000
 
 entries = st.integers(0, ENTRIES - 1)
-# 'record' runs and records, 'release' is told not_run, 'lose' runs and
-# never records, as a process does that dies.
+# 'record' runs the request and records the outcome, 'release' does not run
+# it, and 'lose' runs it without recording, like a process that dies.
 attempts = st.tuples(
     entries,
     st.sampled_from(KEYS),
@@ -31,26 +31,28 @@
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """Attempts of several entries on few keys over one faulty store."""
+    """Attempts of several entries on a few keys in one faulty store."""
 
     def __init__(self) -> None:
         """Start with an empty store."""
         super().__init__()
-        # With one bucket all keys share writes.
+        # With one bucket, all keys share writes.
         self.patch = mock.patch.object(claim_groups, 'BUCKETS', 1)
         self.patch.start()
         self.store = FaultyStore()
         self.ledgers = [self.make_ledger() for _ in range(ENTRIES)]
         self.runs: Counter[str] = Counter()
-        self.offered: dict[str, set[bytes]] = {key: set() for key in KEYS}
+        self.offered_outcomes: dict[str, set[bytes]] = {
+            key: set() for key in KEYS
+        }
         self.acknowledged: dict[str, bytes] = {}
-        # Keys whose claim may stay for good, because a process died.
+        # Keys whose claim may stay forever because a process died.
         self.stuck: set[str] = set()
-        self.tried: set[str] = set()
+        self.attempted: set[str] = set()
 
     def make_ledger(self) -> ClaimLedger:
         """Return the ledger of a new entry."""
-        return ClaimLedger(self.store, now_ms=lambda: NOW_MS, gather_s=0)
+        return ClaimLedger(self.store, now_ms=lambda: NOW_MS, commit_delay_s=0)
 
     @rule(reads=read_plans, writes=cancel_plans)
     def set_faults(self, reads: list[str], writes: list[str]) -> None:
@@ -59,7 +61,7 @@
 
     @rule(given=st.lists(attempts, min_size=1, max_size=6))
     def attempt_all(self, given: list[tuple[int, str, str]]) -> None:
-        """Run attempts at the same time."""
+        """Run attempts concurrently."""
 
         async def main() -> None:
             async with anyio.create_task_group() as group:
@@ -70,8 +72,8 @@
             anyio.run(main)
 
     async def attempt(self, entry: int, key: str, action: str) -> None:
-        """Claim a key and, if it is ours, run the request."""
-        self.tried.add(key)
+        """Claim a key and, if claimed, run the request."""
+        self.attempted.add(key)
         known = self.acknowledged.get(key)
         with anyio.CancelScope() as scope:
             current_scope.set(scope)
@@ -81,18 +83,20 @@
             if known is not None:
                 assert answer == Ok(Recorded(known))
             if isinstance(answer.ok_value, Recorded):
-                assert answer.ok_value.outcome in self.offered[key]
+                assert answer.ok_value.outcome in self.offered_outcomes[key]
             if isinstance(answer.ok_value, Claimed):
-                await self.use(entry, key, action, answer.ok_value.claim_id)
+                await self.run_or_release(
+                    entry, key, action, answer.ok_value.claim_id
+                )
 
-    async def use(
+    async def run_or_release(
         self,
         entry: int,
         key: str,
         action: str,
         claim_id: str,
     ) -> None:
-        """Run the request that a claim allows, or not."""
+        """Run the claimed request, or release the claim."""
         ledger = self.ledgers[entry]
         if action == 'release':
             await ledger.release(key, claim_id)
@@ -102,26 +106,26 @@
             self.stuck.add(key)
             return
         outcome = f'{key} {claim_id}'.encode()
-        self.offered[key].add(outcome)
+        self.offered_outcomes[key].add(outcome)
         answer = await ledger.record(key, claim_id, outcome)
         if isinstance(answer, Ok):
             self.acknowledged[key] = outcome
 
     @rule(entry=entries)
     def crash(self, entry: int) -> None:
-        """Lose the memory of an entry."""
+        """Replace an entry by one without its memory."""
         self.ledgers[entry] = self.make_ledger()
-        self.stuck |= self.tried
+        self.stuck |= self.attempted
 
     @rule()
     def heal(self) -> None:
-        """End all faults; every key then answers as it must."""
+        """End all faults and check the reply for each key."""
         self.store.plan([], [])
         with mock.patch.object(kv, 'RETRY_PAUSE_S', 0):
             anyio.run(self.check_keys)
 
     async def check_keys(self) -> None:
-        """Compare what the ledgers say with what happened."""
+        """Compare the replies of the ledgers with the model."""
         await self.store.apply_delayed()
         for ledger in self.ledgers:
             await ledger.retry_failed_writes()
@@ -140,7 +144,7 @@
 
     @invariant()
     def runs_at_most_once(self) -> None:
-        """No key is ever run twice."""
+        """No request is run more than once."""
         assert all(count <= 1 for count in self.runs.values())
 
     def teardown(self) -> None:
