--- a/src/quetzaldyke/parts/fencing.py
+++ b/src/quetzaldyke/parts/fencing.py
@@ -1,10 +1,10 @@
-"""Gate for orders: a fresh nonce and a token that is not below the highest.
+"""Fencing of orders by a single-use nonce and a monotonic token.
 
-The token alone would not do: a gate that was restarted has forgotten the
-highest token, and some endpoints ignore it. The giver therefore asks for a
-nonce, then reads its epoch, then sends the order with both. An order that
-was delayed for longer than a nonce lives, or that was meant for the gate's
-former process, has no valid nonce.
+A token alone is not enough: a process that was restarted has lost the highest
+token, and some endpoints ignore it. The sender of an order therefore requests
+a nonce, then reads its epoch, then sends the order with both. An order that is
+delayed beyond the lifetime of its nonce, or that was meant for a former
+process of the receiver, has no valid nonce.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 
 
 def random_nonce() -> str:
-    """Return a nonce that nobody can guess."""
+    """Return an unpredictable nonce."""
     return secrets.token_hex(NONCE_BYTES)
 
 
 @dataclass(slots=True)
 class FencingGate:
-    """Decides which orders are carried out.
+    """Decides whether a received order is executed.
 
     >>> gate = FencingGate(Clock(read=lambda: 0.0))
     >>> gate.admit('order-1', gate.issue_nonce('order-1'), token=7).is_ok()
@@ -45,11 +45,11 @@
     clock: Clock
     highest: int = 0
     make_nonce: Callable[[], str] = random_nonce
-    # Nonce to the order that it was made for and the end of its life.
+    # Order id and expiry time by nonce.
     nonces: dict[str, tuple[str, float]] = field(default_factory=dict)
 
     def issue_nonce(self, order_id: str) -> str:
-        """Return a nonce for one order."""
+        """Return a nonce that is valid for one order for `NONCE_TTL_S`."""
         self.forget_old()
         nonce = self.make_nonce()
         self.nonces[nonce] = (order_id, self.clock.now() + NONCE_TTL_S)
@@ -61,10 +61,13 @@
         nonce: str,
         token: int,
     ) -> Result[None, Refusal]:
-        """Check an order; a nonce serves once."""
+        """Check the nonce and the token of an order.
+
+        The nonce is used up even if the order is refused.
+        """
         self.forget_old()
-        made_for, _ = self.nonces.pop(nonce, ('', 0))
-        if made_for != order_id or not nonce:
+        issued_for, _ = self.nonces.pop(nonce, ('', 0))
+        if issued_for != order_id or not nonce:
             return Err('nonce not valid')
         if self.stale(token):
             return Err('token is stale')
@@ -72,20 +75,20 @@
         return Ok(None)
 
     def stale(self, token: int) -> bool:
-        """Tell whether a higher token was seen."""
+        """Tell whether a higher token has been observed."""
         return token < self.highest
 
     def observe_token(self, token: int) -> None:
-        """Learn a token that the endpoint has seen."""
+        """Raise the highest token to one that the endpoint has observed."""
         self.highest = max(self.highest, token)
 
     def forget_old(self) -> None:
-        """Drop the nonces whose life is over."""
+        """Drop the expired nonces."""
         now_s = self.clock.now()
         for nonce, (_, expires_s) in list(self.nonces.items()):
             if expires_s <= now_s:
                 self.nonces.pop(nonce)
 
     def clear(self) -> None:
-        """Drop every nonce, after a pause of the process."""
+        """Drop every nonce; called after a pause of the process."""
         self.nonces.clear()
--- a/src/quetzaldyke/parts/rendezvous.py
+++ b/src/quetzaldyke/parts/rendezvous.py
@@ -1,7 +1,7 @@
-"""Rendezvous hashing: who ranks first for a key, and even subsets.
+"""Rendezvous hashing: ranks members for a key and picks even subsets.
 
 Every process computes the same ranking from the same member list without
-talking to anybody. A member that leaves moves only its own keys.
+communication. When a member leaves, only its own keys move.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 DIGEST_BYTES: Final = 8
 
 
-def weight_of(member: str, key: str) -> int:
+def score(member: str, key: str) -> int:
     """Return the score of a member for a key; the highest score wins."""
     text = f'{member}\x00{key}'.encode()
     digest = hashlib.blake2b(text, digest_size=DIGEST_BYTES).digest()
@@ -21,14 +21,14 @@
 
 
 def ranking(members: Iterable[str], key: str) -> list[str]:
-    """Return the members, best first.
+    """Return the members by descending score for a key.
 
     >>> ranking(['a', 'b', 'c'], 'job-1') == ranking(['c', 'a', 'b'], 'job-1')
     True
     """
     return sorted(
         members,
-        key=lambda member: (weight_of(member, key), member),
+        key=lambda member: (score(member, key), member),
         reverse=True,
     )
 
@@ -37,7 +37,7 @@
     """Return the member that ranks first, or None without members."""
     return max(
         members,
-        key=lambda member: (weight_of(member, key), member),
+        key=lambda member: (score(member, key), member),
         default=None,
     )
 
@@ -48,12 +48,12 @@
     servers: Sequence[str],
     size: int,
 ) -> list[str]:
-    """Choose `size` servers for one client so that servers stay even.
+    """Choose `size` servers for one client, spreading all clients evenly.
 
-    Both sides are put in hash order. Each client takes `size` consecutive
-    servers of the ring, starting in proportion to its own rank, so servers
-    differ by at most one client or two, and one member that comes or goes
-    moves only about one connection of each client.
+    Servers and clients are put in hash order. Each client takes `size`
+    consecutive servers of the ring from a start in proportion to its rank. The
+    client counts of servers therefore differ by at most two, and a member that
+    joins or leaves moves only about one connection of each client.
 
     >>> servers = ['s0', 's1', 's2', 's3']
     >>> clients = ['c0', 'c1']
@@ -66,5 +66,5 @@
     ring = ranking(servers, 'ring')
     order = ranking({*clients, own}, 'order')
     start = order.index(own) * len(ring) // len(order)
-    doubled = [*ring, *ring]
-    return sorted(doubled[start : start + size])
+    wrapped_ring = [*ring, *ring]
+    return sorted(wrapped_ring[start : start + size])
--- a/src/quetzaldyke/parts/suspects.py
+++ b/src/quetzaldyke/parts/suspects.py
@@ -1,10 +1,10 @@
-"""Requests that may crash the endpoints that run them.
+"""Detects requests that crash the endpoints that run them.
 
-Each death of an endpoint gets a crash id, recorded for every fingerprint in
-flight. The records and the clearances are grow-only sets, so merging them in
-any order on any process gives the same book. A crash id holds the time of
-the crash, so that every process forgets it at the same moment and passing it
-on can't keep it alive.
+Each crash of an endpoint gets a crash id, recorded for the fingerprint of
+every request in flight there. Recorded and cleared crashes are grow-only
+sets, so processes that merge them in any order agree. A crash id contains the
+time of the crash, so that all processes drop it at the same time and
+forwarding it can't extend its retention.
 """
 
 from __future__ import annotations
@@ -15,21 +15,23 @@
 
 CRASH_RETENTION_MS: Final = 3_600_000
 CONFIRMING_CRASHES: Final = 3
-ALONE_MARK: Final = 'alone'
+ALONE_SUFFIX: Final = 'alone'
 
-# How a request may run: beside anything, beside no other suspect, or alone.
+# How a request may run: beside any but 'alone' requests ('clear'), beside
+# 'clear' requests only ('apart'), by itself ('alone'), or not at all
+# ('confirmed' to crash endpoints).
 Verdict = Literal['clear', 'apart', 'alone', 'confirmed']
 CrashTable = dict[str, list[str]]
 
 
 def make_crash_id(wall_ms: int, origin: str, number: int, alone: bool) -> str:
-    """Return the id of one crash.
+    """Return the id of a crash; `alone` if only one request was running.
 
     >>> make_crash_id(1700000000000, 'sidecar-1', 3, alone=True)
     '1700000000000/sidecar-1/3/alone'
     """
-    mark = f'/{ALONE_MARK}' if alone else ''
-    return f'{wall_ms}/{origin}/{number}{mark}'
+    suffix = f'/{ALONE_SUFFIX}' if alone else ''
+    return f'{wall_ms}/{origin}/{number}{suffix}'
 
 
 def crash_time_ms(crash_id: str) -> int | None:
@@ -43,31 +45,31 @@
 
 
 def crash_origin(crash_id: str) -> str:
-    """Return what crashed.
+    """Return the origin that the crash id was made with.
 
     >>> crash_origin('17/sidecar-1/3'), crash_origin('17/a/b/3/alone')
     ('sidecar-1', 'a/b')
     """
-    rest = crash_id.removesuffix(f'/{ALONE_MARK}').partition('/')[2]
+    rest = crash_id.removesuffix(f'/{ALONE_SUFFIX}').partition('/')[2]
     return rest.rpartition('/')[0]
 
 
 @dataclass(slots=True)
 class SuspectBook:
-    """Crashes by fingerprint, and those that were cleared.
+    """Recorded and cleared crash ids by request fingerprint.
 
     >>> book = SuspectBook()
-    >>> news = book.record('1/s/1', ['f1', 'f2'], now_ms=1)
+    >>> added = book.record('1/s/1', ['f1', 'f2'], now_ms=1)
     >>> book.verdict('f1'), book.verdict('f3')
     ('apart', 'clear')
-    >>> news = book.clear('f1')
+    >>> cleared = book.clear('f1')
     >>> book.verdict('f1')
     'clear'
     """
 
     crashes: dict[str, set[str]] = field(default_factory=dict)
     cleared: dict[str, set[str]] = field(default_factory=dict)
-    # For how long crashes count.
+    # Crashes count for this long.
     retention_ms: int = CRASH_RETENTION_MS
 
     def record(
@@ -76,17 +78,24 @@
         fingerprints: Iterable[str],
         now_ms: int,
     ) -> CrashTable:
-        """Record one crash and return what to tell the others."""
-        crashes = {one: [crash_id] for one in fingerprints if one}
+        """Record one crash and return what is new, to send to other processes."""
+        crashes = {
+            fingerprint: [crash_id]
+            for fingerprint in fingerprints
+            if fingerprint
+        }
         return self.merge(crashes, {}, now_ms)[0]
 
     def clear(self, fingerprint: str) -> CrashTable:
-        """Clear a suspect that finished and return what to tell."""
-        open_ids = self.uncleared_crashes(fingerprint)
-        if not open_ids:
+        """Clear the crashes of a fingerprint whose request finished.
+
+        Returns what was cleared, to send to other processes.
+        """
+        uncleared_ids = self.uncleared_crashes(fingerprint)
+        if not uncleared_ids:
             return {}
-        self.cleared.setdefault(fingerprint, set()).update(open_ids)
-        return {fingerprint: sorted(open_ids)}
+        self.cleared.setdefault(fingerprint, set()).update(uncleared_ids)
+        return {fingerprint: sorted(uncleared_ids)}
 
     def merge(
         self,
@@ -94,80 +103,98 @@
         cleared: Mapping[str, Iterable[str]],
         now_ms: int,
     ) -> tuple[CrashTable, CrashTable]:
-        """Add another process's records and return those that were new."""
+        """Merge the tables of another process; return the ids that were new."""
         return (
-            add_new(self.crashes, crashes, now_ms, self.retention_ms),
-            add_new(self.cleared, cleared, now_ms, self.retention_ms),
+            add_new_ids(self.crashes, crashes, now_ms, self.retention_ms),
+            add_new_ids(self.cleared, cleared, now_ms, self.retention_ms),
         )
 
     def uncleared_crashes(self, fingerprint: str) -> set[str]:
-        """Return the crashes of a fingerprint that were not cleared."""
+        """Return the crash ids of a fingerprint that were not cleared."""
         recorded = self.crashes.get(fingerprint)
         if not recorded:
             return set()
         return recorded - self.cleared.get(fingerprint, set())
 
     def verdict(self, fingerprint: str) -> Verdict:
-        """Return how a request may run."""
-        open_ids = self.uncleared_crashes(fingerprint)
-        if not open_ids:
+        """Return how a request with this fingerprint may run."""
+        uncleared_ids = self.uncleared_crashes(fingerprint)
+        if not uncleared_ids:
             return 'clear'
-        if len(open_ids) >= CONFIRMING_CRASHES or crashed_alone(open_ids):
+        if len(uncleared_ids) >= CONFIRMING_CRASHES or crashed_alone(
+            uncleared_ids
+        ):
             return 'confirmed'
-        return 'apart' if len(open_ids) == 1 else 'alone'
+        return 'apart' if len(uncleared_ids) == 1 else 'alone'
 
     def forget_old(self, now_ms: int) -> None:
-        """Drop the records whose time is over."""
+        """Drop the crash ids older than the retention time."""
         for table in (self.crashes, self.cleared):
             for fingerprint, ids in list(table.items()):
                 ids.difference_update(
                     [
                         one
                         for one in ids
-                        if not recent(one, now_ms, self.retention_ms)
+                        if not within_retention(one, now_ms, self.retention_ms)
                     ],
                 )
                 if not ids:
                     table.pop(fingerprint)
 
     def tables(self) -> tuple[CrashTable, CrashTable]:
-        """Return everything, for a process that just connected."""
+        """Return the recorded and the cleared crashes.
+
+        They are sent to a process that has just connected.
+        """
         return (
-            {one: sorted(ids) for one, ids in self.crashes.items()},
-            {one: sorted(ids) for one, ids in self.cleared.items()},
+            {
+                fingerprint: sorted(ids)
+                for fingerprint, ids in self.crashes.items()
+            },
+            {
+                fingerprint: sorted(ids)
+                for fingerprint, ids in self.cleared.items()
+            },
         )
 
 
 def crashed_alone(crash_ids: Iterable[str]) -> bool:
-    """Tell whether a crash after the first one was of this request alone.
+    """Tell whether this request ran alone in a crash after the first one.
 
-    A first crash while alone proves little: an endpoint can die by itself
-    under the only request that it runs.
+    A first crash in which it ran alone proves little: the endpoint may have
+    died for another reason while this was its only request.
     """
-    ordered = sorted(crash_ids, key=lambda one: crash_time_ms(one) or 0)
-    return any(one.endswith(f'/{ALONE_MARK}') for one in ordered[1:])
+    ordered = sorted(
+        crash_ids, key=lambda crash_id: crash_time_ms(crash_id) or 0
+    )
+    return any(
+        crash_id.endswith(f'/{ALONE_SUFFIX}') for crash_id in ordered[1:]
+    )
 
 
-def recent(crash_id: str, now_ms: int, retention_ms: int) -> bool:
-    """Tell whether a crash is within the time that records are kept."""
+def within_retention(crash_id: str, now_ms: int, retention_ms: int) -> bool:
+    """Tell whether a crash is within the retention time.
+
+    False for a malformed id and for one that far in the future.
+    """
     time_ms = crash_time_ms(crash_id)
     return time_ms is not None and abs(now_ms - time_ms) < retention_ms
 
 
-def add_new(
+def add_new_ids(
     table: dict[str, set[str]],
     added: Mapping[str, Iterable[str]],
     now_ms: int,
     retention_ms: int,
 ) -> CrashTable:
-    """Add ids to a table and return those that it did not have."""
-    news: CrashTable = {}
+    """Add the ids within retention to a table; return those that were new."""
+    new_entries: CrashTable = {}
     for fingerprint, ids in added.items():
         known = table.get(fingerprint, set())
-        fresh = {
-            one for one in ids if recent(one, now_ms, retention_ms)
+        new_ids = {
+            one for one in ids if within_retention(one, now_ms, retention_ms)
         } - known
-        if fresh:
-            table.setdefault(fingerprint, set()).update(fresh)
-            news[fingerprint] = sorted(fresh)
-    return news
+        if new_ids:
+            table.setdefault(fingerprint, set()).update(new_ids)
+            new_entries[fingerprint] = sorted(new_ids)
+    return new_entries
--- a/tests/test_rendezvous.py
+++ b/tests/test_rendezvous.py
@@ -17,7 +17,7 @@
 
 @given(st.integers(1, 60), st.integers(2, 60), st.integers(1, 20))
 def test_subsets_are_even(clients: int, servers: int, size: int) -> None:
-    """Guards against servers that get far more or fewer clients."""
+    """Guards against servers with far more or fewer clients than others."""
     counts = Counter({server: 0 for server in names('s', servers)})
     for own in names('c', clients):
         counts.update(
@@ -30,11 +30,11 @@
 @given(st.integers(10, 60), st.integers(0, 59))
 def test_a_leaving_client_moves_few_connections(
     clients: int,
-    leaver: int,
+    removed: int,
 ) -> None:
-    """Guards against reconnecting the fleet at each replacement."""
+    """Guards against reconnecting the whole fleet when one client leaves."""
     before = names('c', clients)
-    after = [one for one in before if one != f'c{leaver % clients}']
+    after = [one for one in before if one != f'c{removed % clients}']
     servers = names('s', 40)
     moved = sum(
         len(
@@ -43,13 +43,16 @@
         )
         for own in after
     )
-    # Each client's start moves by at most its share of one rank, rounded up.
+    # The start of each client moves by at most one rank's share of the ring,
+    # rounded up.
     assert moved <= len(after) * (40 // len(after) + 1)
 
 
 @given(st.lists(st.text(min_size=1), min_size=1, unique=True), st.text())
-def test_only_keys_of_a_leaver_move(members: list[str], key: str) -> None:
-    """Guards against segments that change owner for no reason."""
+def test_only_keys_of_a_removed_member_move(
+    members: list[str], key: str
+) -> None:
+    """Guards against segments that change owner needlessly."""
     owner, *others = ranking(members, key)
     assert first_for(members, key) == owner
     if others:
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""Property tests of the suspects' rules, without a daemon."""
+"""Property tests of crash attribution, without a daemon."""
 
 from __future__ import annotations
 
@@ -16,46 +16,46 @@
 )
 
 NOW_MS = 1_700_000_000_000
-CRASHERS = ('crash-1', 'crash-2', 'crash-3')
-INNOCENTS = tuple(f'innocent-{number}' for number in range(6))
-REQUESTS = CRASHERS + INNOCENTS
+CRASHING = ('crash-1', 'crash-2', 'crash-3')
+HARMLESS = tuple(f'innocent-{number}' for number in range(6))
+REQUESTS = CRASHING + HARMLESS
 ENDPOINTS = 4
 
 
 @dataclass
 class Fleet:
-    """Endpoints that admit by one book, and the crashes of each request."""
+    """Endpoints that share one book, and the crash count of each request."""
 
     book: SuspectBook = field(default_factory=SuspectBook)
     running: list[list[str]] = field(
         default_factory=lambda: [[] for _ in range(ENDPOINTS)],
     )
     finished: set[str] = field(default_factory=set)
-    guilty: dict[str, int] = field(default_factory=dict)
+    crash_counts: dict[str, int] = field(default_factory=dict)
     numbers: itertools.count[int] = field(default_factory=itertools.count)
 
     def place(self, request: str, endpoint: int) -> None:
-        """Start a request where the rules let it."""
-        beside = self.running[endpoint]
-        held = any(request in running for running in self.running)
-        if held or request in self.finished:
+        """Start a request on an endpoint if its verdict permits."""
+        running_here = self.running[endpoint]
+        already_running = any(request in running for running in self.running)
+        if already_running or request in self.finished:
             return
         verdict = self.book.verdict(request)
-        others = {self.book.verdict(other) for other in beside}
+        others = {self.book.verdict(other) for other in running_here}
         allowed = {
             'clear': 'alone' not in others,
             'apart': others <= {'clear'},
-            'alone': not beside,
+            'alone': not running_here,
             'confirmed': False,
         }
         if allowed[verdict]:
-            beside.append(request)
+            running_here.append(request)
 
     def advance(self, endpoint: int) -> None:
-        """Let an endpoint crash, or finish what it runs."""
+        """Let an endpoint crash or finish its running requests."""
         running, self.running[endpoint] = self.running[endpoint], []
-        crashers = set(running) & set(CRASHERS)
-        if not crashers:
+        crashing = set(running) & set(CRASHING)
+        if not crashing:
             for request in running:
                 self.book.clear(request)
                 self.finished.add(request)
@@ -64,8 +64,8 @@
         alone = len(running) == 1
         crash_id = make_crash_id(NOW_MS + number, 's', number, alone)
         self.book.record(crash_id, running, NOW_MS)
-        for crasher in crashers:
-            self.guilty[crasher] = self.guilty.get(crasher, 0) + 1
+        for request in crashing:
+            self.crash_counts[request] = self.crash_counts.get(request, 0) + 1
 
 
 @given(
@@ -78,26 +78,26 @@
     ),
 )
 def test_rules_hold_in_any_order(steps: list[tuple[str, int]]) -> None:
-    """Guards against more than 3 losses, and refusals of innocents."""
+    """Guards against over 3 crashes by a request, and false confirmations."""
     fleet = Fleet()
     for name, endpoint in steps:
         if name == 'advance':
             fleet.advance(endpoint)
         else:
             fleet.place(name, endpoint)
-        assert all(crashes <= 3 for crashes in fleet.guilty.values())
+        assert all(crashes <= 3 for crashes in fleet.crash_counts.values())
         assert all(
-            fleet.book.verdict(request) != 'confirmed' for request in INNOCENTS
+            fleet.book.verdict(request) != 'confirmed' for request in HARMLESS
         )
     for _ in range(10):
         for number, request in enumerate(REQUESTS):
             fleet.place(request, number % ENDPOINTS)
             fleet.advance(number % ENDPOINTS)
-    assert set(INNOCENTS) == fleet.finished
+    assert set(HARMLESS) == fleet.finished
     assert all(
-        fleet.book.verdict(request) == 'confirmed' for request in CRASHERS
+        fleet.book.verdict(request) == 'confirmed' for request in CRASHING
     )
-    assert all(crashes <= 3 for crashes in fleet.guilty.values())
+    assert all(crashes <= 3 for crashes in fleet.crash_counts.values())
 
 
 TABLES = st.dictionaries(
@@ -123,7 +123,7 @@
     updates: list[tuple[dict[str, list[str]], dict[str, list[str]]]],
     order: object,
 ) -> None:
-    """Guards against sidecars that judge a request differently for ever."""
+    """Guards against sidecars whose verdicts never converge."""
     one = SuspectBook()
     other = SuspectBook()
     shuffled = [*updates, *updates]
@@ -135,8 +135,8 @@
     assert one == other
 
 
-def test_news_are_told_once() -> None:
-    """Guards against updates that circle between processes for ever."""
+def test_merge_returns_only_new_ids() -> None:
+    """Guards against updates that circulate between processes forever."""
     book = SuspectBook()
     crash_id = make_crash_id(NOW_MS, 's', 1, alone=False)
     first = book.merge({'f': [crash_id]}, {'f': [crash_id]}, NOW_MS)
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize(
-    ('marks', 'verdict'),
+    ('alone_flags', 'verdict'),
     [
         ([], 'clear'),
         ([False], 'apart'),
@@ -157,17 +157,17 @@
         ([False, False, False], 'confirmed'),
     ],
 )
-def test_verdicts(marks: list[bool], verdict: str) -> None:
-    """Guards against a verdict from the wrong number of crashes."""
+def test_verdicts(alone_flags: list[bool], verdict: str) -> None:
+    """Guards against wrong thresholds for the verdicts."""
     book = SuspectBook()
-    for number, alone in enumerate(marks):
+    for number, alone in enumerate(alone_flags):
         crash_id = make_crash_id(NOW_MS + number, 's', number, alone)
         book.record(crash_id, ['f'], NOW_MS)
     assert book.verdict('f') == verdict
 
 
-def test_records_are_forgotten() -> None:
-    """Guards against records that peers keep alive by passing them on."""
+def test_old_crashes_are_dropped() -> None:
+    """Guards against crash ids that outlive their retention by forwarding."""
     book = SuspectBook()
     crash_id = make_crash_id(NOW_MS, 's', 1, alone=False)
     book.record(crash_id, ['f'], NOW_MS)
