--- a/src/quetzaldyke/parts/kv.py
+++ b/src/quetzaldyke/parts/kv.py
@@ -1,8 +1,8 @@
-"""Interface of the platform's key-value service and the safe update loop.
+"""Interface of the platform's key-value service and compare-and-swap on it.
 
-A write whose answer was lost may have taken effect. `swap` therefore keeps
-the ids of the latest writes inside the value and settles a lost answer by
-reading back and looking for its own id.
+A write whose answer was lost may have been applied. `swap` therefore stores
+the ids of the latest writes in the value. After a lost answer it reads the
+value back and looks for its own id.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from result import Err, Ok, Result
 
 MAX_VALUE_BYTES: Final = 1_000_000
-KEPT_WRITE_IDS: Final = 32
+MAX_WRITE_IDS: Final = 32
 WRITE_ID_BYTES: Final = 8
-MAX_SWAP_TRIES: Final = 16
+MAX_SWAP_ATTEMPTS: Final = 16
 RETRY_PAUSE_S: Final = 0.02
 
-# Revision of a key that does not exist; `put_if` with it creates the key.
+# Revision of a missing key; `put_if` with this revision creates the key.
 ABSENT: Final = 0
 
 ErrorKind = Literal[
@@ -41,8 +41,9 @@
     """Failure of a call.
 
     `unavailable`: certainly not applied. `unknown`: may have been applied.
-    `conflict`: the revision differed. `too_large`: the value limit.
-    `compacted`: the history asked for is gone. `no_lease`: it has lapsed.
+    `conflict`: the revision differs. `too_large`: the value exceeds the
+    limit. `compacted`: the requested history has been removed. `no_lease`:
+    the lease has lapsed.
     """
 
     kind: ErrorKind
@@ -60,20 +61,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One change seen by a watch; `record.value` is empty when deleted."""
+    """One change from a watch; `record.value` is empty if deleted."""
 
     record: Record
     deleted: bool
 
 
 class KeyValueStore(Protocol):
-    """The calls that the platform's service offers."""
+    """Calls of the platform's key-value service."""
 
     async def get(self, key: str) -> Result[Record | None, KvError]:
-        """Read one key."""
+        """Return the record of a key, or None if the key does not exist."""
 
     async def list_prefix(self, prefix: str) -> Result[list[Record], KvError]:
-        """Read all keys that start with the prefix."""
+        """Return the records of all keys that start with the prefix."""
 
     async def put_if(
         self,
@@ -82,20 +83,26 @@
         revision: int,
         lease_id: int = 0,
     ) -> Result[int, KvError]:
-        """Write if the key's revision is as given; return the new one."""
+        """Write if the key has the given revision; return the new revision.
+
+        Fails with `conflict` at any other revision.
+        """
 
     async def delete_if(
         self,
         key: str,
         revision: int,
     ) -> Result[None, KvError]:
-        """Delete if the key's revision is as given."""
+        """Delete the key if it has the given revision.
+
+        Fails with `conflict` at any other revision.
+        """
 
     async def grant_lease(self, ttl_s: int) -> Result[int, KvError]:
         """Create a lease and return its id."""
 
     async def keep_alive(self, lease_id: int) -> Result[bool, KvError]:
-        """Extend a lease; False when it has already lapsed."""
+        """Extend a lease; return False if it has already lapsed."""
 
     async def revoke(self, lease_id: int) -> Result[None, KvError]:
         """End a lease and delete its keys."""
@@ -105,12 +112,12 @@
         prefix: str,
         after_revision: int,
     ) -> AsyncIterator[Change]:
-        """Yield changes after a revision until the connection breaks."""
+        """Yield the changes after a revision until the connection breaks."""
 
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """A stored payload with the ids of the writes that led to it.
+    """Payload stored with the ids of the latest writes to it.
 
     >>> Envelope.unpack(Envelope(('w1',), b'x').pack())
     Envelope(write_ids=('w1',), payload=b'x')
@@ -121,26 +128,26 @@
 
     @classmethod
     def unpack(cls, raw: bytes) -> Envelope:
-        """Decode a stored value."""
+        """Return the envelope decoded from a stored value."""
         write_ids, payload = msgpack.unpackb(raw)
         return cls(tuple(write_ids), payload)
 
     def pack(self) -> bytes:
-        """Encode for storage."""
+        """Return the encoded value to store."""
         return bytes(msgpack.packb([list(self.write_ids), self.payload]))
 
-    def replaced(self, write_id: str, payload: bytes) -> Envelope:
-        """Return the envelope after one more write."""
-        kept = (*self.write_ids, write_id)[-KEPT_WRITE_IDS:]
+    def with_write(self, write_id: str, payload: bytes) -> Envelope:
+        """Return the envelope with a new payload and one more write id."""
+        kept = (*self.write_ids, write_id)[-MAX_WRITE_IDS:]
         return Envelope(kept, payload)
 
 
-EMPTY: Final = Envelope((), b'')
+EMPTY_ENVELOPE: Final = Envelope((), b'')
 
 
 @dataclass(frozen=True, slots=True)
 class Stored:
-    """Payload of an envelope with the revision that holds it."""
+    """Payload of an envelope with the revision of its key."""
 
     payload: bytes
     revision: int
@@ -148,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused(Generic[T]):
-    """The change function declined; nothing was written."""
+    """The change function declined to write; nothing was written."""
 
     reason: T
 
@@ -157,7 +164,7 @@
 
 
 def new_write_id() -> str:
-    """Return an id that no other write uses."""
+    """Return a unique write id."""
     return uuid.uuid4().hex[: WRITE_ID_BYTES * 2]
 
 
@@ -169,23 +176,23 @@
     answer = await store.get(key)
     if isinstance(answer, Err):
         return answer
-    entry = answer.ok_value
-    if entry is None:
+    record = answer.ok_value
+    if record is None:
         return Ok(Stored(b'', ABSENT))
-    envelope = Envelope.unpack(entry.value)
-    return Ok(Stored(envelope.payload, entry.revision))
+    envelope = Envelope.unpack(record.value)
+    return Ok(Stored(envelope.payload, record.revision))
 
 
 @dataclass(slots=True)
 class SwapState(Generic[T]):
-    """What one `swap` call has learned so far."""
+    """State of one `swap` call across its attempts."""
 
     write_id: str
-    # True while a write may have been applied without our knowing.
+    # True while it is unknown whether a write has been applied.
     uncertain: bool = False
     # Revision and contents that the uncertain write was based on.
     base_revision: int = ABSENT
-    base: Envelope = EMPTY
+    base: Envelope = EMPTY_ENVELOPE
     last_error: KvError = KvError('conflict', 'too many conflicts')
 
 
@@ -195,15 +202,17 @@
     change: ChangeFunction[T],
     write_id: str | None = None,
 ) -> Result[Stored, KvError | Refused[T]]:
-    """Replace a payload by `change(payload)`, whatever answers get lost.
+    """Replace a payload by `change(payload)`, even if answers are lost.
 
     `change` gets `b''` for an absent key and may be called again after a
-    conflict. A known `write_id` makes the whole call safe to repeat. Keys
-    that are deleted and created again while this runs are not supported:
-    a lost answer to a creation can't be settled then.
+    conflict. With a given `write_id` the whole call can be repeated safely.
+    After `MAX_SWAP_ATTEMPTS` it fails with `unavailable` if nothing was
+    written, else with `unknown`. A key must not be deleted and created again
+    while this runs, since a lost answer to its creation can't be resolved
+    then.
     """
     state: SwapState[T] = SwapState(write_id or new_write_id())
-    for _ in range(MAX_SWAP_TRIES):
+    for _ in range(MAX_SWAP_ATTEMPTS):
         answer = await store.get(key)
         if isinstance(answer, Err):
             state.last_error = answer.err_value
@@ -225,19 +234,21 @@
     state: SwapState[T],
     record: Record | None,
 ) -> Result[Stored, KvError | Refused[T]] | None:
-    """Try one write on top of a record; None when it must be tried again."""
-    current = Envelope.unpack(record.value) if record else EMPTY
+    """Attempt one write on top of a record; None if it must be retried."""
+    current = Envelope.unpack(record.value) if record else EMPTY_ENVELOPE
     revision = record.revision if record else ABSENT
     if state.write_id in current.write_ids:
         return Ok(Stored(current.payload, revision))
     if state.uncertain and revision != state.base_revision:
-        if not excludes(state.base, current):
-            return Err(KvError('unknown', 'write id no longer in the window'))
+        if not proves_not_applied(state.base, current):
+            return Err(
+                KvError('unknown', 'own write id may have left the window')
+            )
         state.uncertain = False
     payload = change(current.payload)
     if isinstance(payload, Refused):
         return Err(payload)
-    raw = current.replaced(state.write_id, payload).pack()
+    raw = current.with_write(state.write_id, payload).pack()
     if len(raw) > MAX_VALUE_BYTES:
         return Err(KvError('too_large', f'{key}: {len(raw)} bytes'))
     written = await store.put_if(key, raw, revision)
@@ -247,29 +258,29 @@
         state.uncertain = True
         state.base_revision = revision
         state.base = current
-    return note_failure(state, written.err_value)
+    return record_failure(state, written.err_value)
 
 
-def note_failure(
+def record_failure(
     state: SwapState[T],
     error: KvError,
 ) -> Err[KvError | Refused[T]] | None:
-    """Remember a failed write; only a size error ends the swap."""
+    """Record a failed write; return an error only for `too_large`."""
     state.last_error = error
     return Err(error) if error.kind == 'too_large' else None
 
 
-def excludes(base: Envelope, current: Envelope) -> bool:
+def proves_not_applied(base: Envelope, current: Envelope) -> bool:
     """Tell whether a missing write id proves that the write was not applied.
 
-    It would stand directly after the last id of the contents that it was
-    based on. While that one is in the window, ours can't have left it.
+    Its id would directly follow the last id of the base. While that last id
+    is in the window, the own id can't have left the window.
 
-    >>> excludes(Envelope(('a',), b''), Envelope(('a', 'b'), b''))
+    >>> proves_not_applied(Envelope(('a',), b''), Envelope(('a', 'b'), b''))
     True
-    >>> excludes(Envelope(('a',), b''), Envelope(('c', 'd'), b''))
+    >>> proves_not_applied(Envelope(('a',), b''), Envelope(('c', 'd'), b''))
     False
     """
     if base.write_ids:
         return base.write_ids[-1] in current.write_ids
-    return len(current.write_ids) < KEPT_WRITE_IDS
+    return len(current.write_ids) < MAX_WRITE_IDS
--- a/src/quetzaldyke/parts/memory_store.py
+++ b/src/quetzaldyke/parts/memory_store.py
@@ -1,7 +1,7 @@
-"""Key-value store in the memory of one process, for embedding and tests.
+"""Key-value store in memory, for embedding and tests.
 
-It behaves as the platform's service does without faults: one revision
-counter, compare by revision, leases and watches.
+It behaves like the platform's service without faults: one revision counter,
+compare-and-set by revision, leases and watches.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class MemoryLease:
-    """A lease and its keys."""
+    """A lease and the keys attached to it."""
 
     ttl_s: int
     expires_s: float
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class MemoryStore:
-    """`KeyValueStore` without a service.
+    """In-memory implementation of `KeyValueStore`.
 
     >>> store = MemoryStore()
     >>> anyio.run(store.put_if, 'a', b'1', 0)
@@ -53,12 +53,12 @@
     changed: anyio.Event | None = None
 
     async def get(self, key: str) -> Result[Record | None, KvError]:
-        """Read one key."""
+        """Return the record of a key, or None if the key does not exist."""
         self.expire_leases()
         return Ok(self.records.get(key))
 
     async def list_prefix(self, prefix: str) -> Result[list[Record], KvError]:
-        """Read all keys that start with the prefix."""
+        """Return the records of all keys that start with the prefix."""
         self.expire_leases()
         names = sorted(name for name in self.records if name.startswith(prefix))
         return Ok([self.records[name] for name in names])
@@ -70,7 +70,11 @@
         revision: int,
         lease_id: int = 0,
     ) -> Result[int, KvError]:
-        """Write if the key's revision is as given; return the new one."""
+        """Write if the key has the given revision; return the new revision.
+
+        Fails with `conflict` at any other revision or for an unknown lease,
+        and with `too_large` for a value above the limit.
+        """
         self.expire_leases()
         if len(value) > MAX_VALUE_BYTES:
             return Err(KvError('too_large', f'{key}: {len(value)} bytes'))
@@ -78,12 +82,12 @@
             return Err(KvError('conflict', f'no lease {lease_id}'))
         if self.revision_of(key) != revision:
             return Err(KvError('conflict', f'{key}: not at {revision}'))
-        self.detach(key)
+        self.detach_from_lease(key)
         self.revision += 1
         self.records[key] = Record(key, value, self.revision)
         if lease_id:
             self.leases[lease_id].keys.add(key)
-        self.note(Change(self.records[key], deleted=False))
+        self.publish_change(Change(self.records[key], deleted=False))
         return Ok(self.revision)
 
     async def delete_if(
@@ -91,11 +95,14 @@
         key: str,
         revision: int,
     ) -> Result[None, KvError]:
-        """Delete if the key's revision is as given."""
+        """Delete the key if it has the given revision.
+
+        Fails with `conflict` at any other revision.
+        """
         self.expire_leases()
         if self.revision_of(key) != revision:
             return Err(KvError('conflict', f'{key}: not at {revision}'))
-        self.remove(key)
+        self.delete_key(key)
         return Ok(None)
 
     async def grant_lease(self, ttl_s: int) -> Result[int, KvError]:
@@ -106,7 +113,7 @@
         return Ok(lease_id)
 
     async def keep_alive(self, lease_id: int) -> Result[bool, KvError]:
-        """Extend a lease; False when it has already lapsed."""
+        """Extend a lease; return False if it has already lapsed."""
         self.expire_leases()
         lease = self.leases.get(lease_id)
         if lease is None:
@@ -119,7 +126,7 @@
         lease = self.leases.pop(lease_id, None)
         if lease is not None:
             for key in sorted(lease.keys):
-                self.remove(key)
+                self.delete_key(key)
         return Ok(None)
 
     async def watch(
@@ -127,58 +134,58 @@
         prefix: str,
         after_revision: int,
     ) -> AsyncIterator[Change]:
-        """Yield changes after a revision, without end."""
-        seen = after_revision
+        """Yield the changes after a revision, without end."""
+        last_revision = after_revision
         while True:
-            changed = self.next_change()
+            changed = self.change_event()
             for change in list(self.changes):
-                if change.record.revision <= seen:
+                if change.record.revision <= last_revision:
                     continue
                 if change.record.key.startswith(prefix):
                     yield change
-            seen = max(seen, self.revision)
+            last_revision = max(last_revision, self.revision)
             await changed.wait()
 
-    def next_change(self) -> anyio.Event:
-        """Return the event that the next change sets."""
+    def change_event(self) -> anyio.Event:
+        """Return the event that is set by the next change."""
         if self.changed is None:
             self.changed = anyio.Event()
         return self.changed
 
     def revision_of(self, key: str) -> int:
-        """Return the revision of a key's last change."""
+        """Return the revision of a key, or `ABSENT` if it does not exist."""
         record = self.records.get(key)
         return record.revision if record else ABSENT
 
-    def remove(self, key: str) -> None:
-        """Delete a key if it exists."""
+    def delete_key(self, key: str) -> None:
+        """Delete a key and publish the change, if the key exists."""
         if self.records.pop(key, None) is None:
             return
-        self.detach(key)
+        self.detach_from_lease(key)
         self.revision += 1
-        gone = Record(key, b'', self.revision)
-        self.note(Change(gone, deleted=True))
+        deleted_record = Record(key, b'', self.revision)
+        self.publish_change(Change(deleted_record, deleted=True))
 
-    def detach(self, key: str) -> None:
-        """Remove a key from its lease."""
+    def detach_from_lease(self, key: str) -> None:
+        """Detach a key from its lease."""
         for lease in self.leases.values():
             lease.keys.discard(key)
 
-    def note(self, change: Change) -> None:
-        """Keep a change for the watches and wake them."""
+    def publish_change(self, change: Change) -> None:
+        """Append a change to the history and wake the watches."""
         self.changes.append(change)
         if self.changed is not None:
             self.changed.set()
             self.changed = None
 
     def expire_leases(self) -> None:
-        """End the leases whose time is over."""
+        """Remove the expired leases and delete their keys."""
         now_s = self.now()
-        over = [
+        expired_ids = [
             lease_id
             for lease_id, lease in self.leases.items()
             if lease.expires_s <= now_s
         ]
-        for lease_id in over:
+        for lease_id in expired_ids:
             for key in sorted(self.leases.pop(lease_id).keys):
-                self.remove(key)
+                self.delete_key(key)
--- a/src/quetzaldyke/parts/transactions.py
+++ b/src/quetzaldyke/parts/transactions.py
@@ -1,8 +1,8 @@
 """Interface of a key-value service with transactions over several keys.
 
-The wider sibling of `parts/kv.py`: a transaction is applied whole or not at
-all, and a watch tells up to which revision it has seen everything, so that
-a process can wait until it has seen a named write.
+In addition to `parts/kv.py`, a transaction is applied atomically, and a watch
+returns the revision up to which it is complete, so that a process can wait
+until it has seen a given write.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """One value to write; a lease id of 0 means that it stays."""
+    """One value to write; with a lease id of 0 it does not expire."""
 
     key: str
     value: bytes
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """Writes that apply only while every condition holds."""
+    """Writes that are applied only if every condition holds."""
 
     # Revision by key; 0 means that the key does not exist.
     conditions: dict[str, int] = field(default_factory=dict)
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """Records under a prefix and the revision up to which they are known."""
+    """Records under a prefix, complete up to a revision."""
 
     records: list[Record]
     revision: int
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchedChange:
-    """One change; `value` is None when the key was deleted."""
+    """One change; `value` is None if the key was deleted."""
 
     key: str
     revision: int
@@ -61,14 +61,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """A granted lease."""
+    """A granted lease with its time to live."""
 
     lease_id: int
     ttl_s: float
 
 
 class TransactionalStore(Protocol):
-    """Calls of the service; all of them end within a bounded time."""
+    """Calls of the service; each returns within a bounded time."""
 
     async def get(
         self,
@@ -76,10 +76,13 @@
         *,
         stale: bool = False,
     ) -> Result[Record | None, KvError]:
-        """Read one key; a stale read is cheap and may be seconds old."""
+        """Return the record of a key, or None if the key does not exist.
+
+        A stale read is cheaper and may be seconds old.
+        """
 
     async def list_prefix(self, prefix: str) -> Result[Snapshot, KvError]:
-        """Read all keys that start with the prefix."""
+        """Return the records of all keys that start with the prefix."""
 
     async def watch(
         self,
@@ -87,7 +90,7 @@
         after_revision: int,
         wait_s: float,
     ) -> Result[WatchBatch, KvError]:
-        """Wait for changes after a revision."""
+        """Wait up to `wait_s` for changes after a revision."""
 
     async def transact(
         self,
@@ -96,10 +99,10 @@
         """Apply a transaction and return its revision."""
 
     async def grant_lease(self, ttl_s: float) -> Result[Lease, KvError]:
-        """Create a lease."""
+        """Create a lease and return it."""
 
     async def renew_lease(self, lease_id: int) -> Result[None, KvError]:
-        """Extend a lease; `no_lease` when it has lapsed."""
+        """Extend a lease; fail with `no_lease` if it has lapsed."""
 
     async def end_lease(self, lease_id: int) -> Result[None, KvError]:
         """End a lease and delete its keys."""
--- a/src/quetzaldyke/parts/versioned.py
+++ b/src/quetzaldyke/parts/versioned.py
@@ -1,8 +1,8 @@
-"""A value that only moves to higher versions.
+"""Holds a versioned value that is only replaced by higher versions.
 
-Late and repeated announcements of older versions are common when versions
-spread over many connections; they are ignored here, so that no caller has
-to compare versions. Waiters block on a version and wake once it is reached.
+When versions are distributed over many connections, late and repeated
+announcements of older versions are common. They are ignored here, so that no
+caller has to compare versions. Waiters block until a version is reached.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 @dataclass(slots=True)
 class Versioned(Generic[T]):
-    """The present value, its version, and who waits for later ones.
+    """The current value and its version, with change handlers and waiters.
 
     >>> limits = Versioned('v1', version=1)
     >>> seen = []
-    >>> limits.on_change(lambda version, content: seen.append(content))
+    >>> limits.on_change(lambda version, value: seen.append(value))
     >>> limits.adopt(3, 'v3'), limits.adopt(2, 'v2'), limits.adopt(3, 'x')
     (True, False, False)
     >>> limits.current, limits.version, seen
@@ -32,24 +32,24 @@
     current: T
     version: int = 0
     handlers: list[Callable[[int, T], None]] = field(default_factory=list)
-    # One event for each version that somebody waits for, so that a change
-    # wakes only the waiters that it satisfies.
-    awaited: dict[int, anyio.Event] = field(default_factory=dict)
+    # One event per awaited version, so that a change wakes only the waiters
+    # whose version is reached.
+    version_events: dict[int, anyio.Event] = field(default_factory=dict)
 
     def on_change(self, handler: Callable[[int, T], None]) -> None:
-        """Call `handler(version, value)` after each change."""
+        """Register `handler(version, value)` to be called after each change."""
         self.handlers.append(handler)
 
-    def adopt(self, version: int, newer: T) -> bool:
-        """Take a value of a higher version; False for any other.
+    def adopt(self, version: int, value: T) -> bool:
+        """Replace the value if `version` is higher; else return False.
 
-        Every handler runs even if another fails; failures are raised
-        together afterwards.
+        Every handler runs even if another fails. Their exceptions are raised
+        afterwards as an `ExceptionGroup`.
         """
         if version <= self.version:
             return False
         self.version = version
-        self.current = newer
+        self.current = value
         self.wake_waiters()
         self.run_handlers()
         return True
@@ -62,18 +62,22 @@
         'v4'
         """
         while self.version < version:
-            event = self.awaited.setdefault(version, anyio.Event())
+            event = self.version_events.setdefault(version, anyio.Event())
             await event.wait()
         return self.current
 
     def wake_waiters(self) -> None:
-        """Wake those who wait for a version that is now reached."""
-        reached = [one for one in self.awaited if one <= self.version]
+        """Wake the waiters whose version has been reached."""
+        reached = [
+            version
+            for version in self.version_events
+            if version <= self.version
+        ]
         for version in reached:
-            self.awaited.pop(version).set()
+            self.version_events.pop(version).set()
 
     def run_handlers(self) -> None:
-        """Tell every handler of the present value."""
+        """Call every handler with the current version and value."""
         failures: list[Exception] = []
         for handler in tuple(self.handlers):
             try:
--- a/tests/faulty_store.py
+++ b/tests/faulty_store.py
@@ -1,4 +1,4 @@
-"""Key-value store whose calls fail by plan, for tests."""
+"""Key-value store with planned faults, for tests."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from quetzaldyke.parts.kv import Envelope, KvError, Record
 from quetzaldyke.parts.memory_store import MemoryStore
 
-# Faults of one call. Late writes are applied some calls later, if their
-# compare still holds, and answer unknown.
+# Faults of one call. A late write returns `unknown` and is applied some calls
+# later if its revision still matches.
 READ_FAULTS: Final = ('ok', 'unavailable', 'unknown')
 WRITE_FAULTS: Final = (
     'ok',
@@ -40,7 +40,7 @@
 
 read_plans = st.lists(st.sampled_from(READ_FAULTS), max_size=24)
 write_plans = st.lists(st.sampled_from(WRITE_FAULTS), max_size=24)
-# With cancellations of the call's task.
+# Also with cancellations of the calling task.
 cancel_plans = st.lists(
     st.sampled_from(WRITE_FAULTS + CANCEL_FAULTS),
     max_size=24,
@@ -49,11 +49,11 @@
 
 @dataclass(slots=True)
 class FaultyStore(MemoryStore):
-    """Memory store with a fault for each call; without one when used up."""
+    """Memory store with a planned fault per call, then none."""
 
     read_plan: deque[str] = field(default_factory=deque)
     write_plan: deque[str] = field(default_factory=deque)
-    # Writes on their way: calls left, and the write itself.
+    # Delayed writes, each with the number of calls before it is applied.
     delayed: list[tuple[int, Callable[[], Awaitable[object]]]] = field(
         default_factory=list,
     )
@@ -61,12 +61,12 @@
     rivals: int = 0
 
     def plan(self, reads: list[str], writes: list[str]) -> None:
-        """Set the faults of the next calls."""
+        """Set the faults of the next reads and writes."""
         self.read_plan = deque(reads)
         self.write_plan = deque(writes)
 
     async def get(self, key: str) -> Result[Record | None, KvError]:
-        """Read, or fail by plan."""
+        """Read, or fail with the next planned fault."""
         await self.advance()
         fault = self.read_plan.popleft() if self.read_plan else 'ok'
         if fault == 'unavailable':
@@ -84,7 +84,7 @@
         revision: int,
         lease_id: int = 0,
     ) -> Result[int, KvError]:
-        """Write, or fail by plan."""
+        """Write, or fail with the next planned fault."""
         await self.advance()
         fault = self.write_plan.popleft() if self.write_plan else 'ok'
         self.faults_seen.add(fault)
@@ -93,7 +93,7 @@
             return await MemoryStore.put_if(self, key, value, revision)
 
         if fault in RIVALS:
-            await self.let_rivals_write(key, RIVALS[fault])
+            await self.write_as_rivals(key, RIVALS[fault])
         if fault == 'unavailable':
             return Err(KvError('unavailable'))
         if fault == 'cancel':
@@ -113,9 +113,11 @@
     async def advance(self) -> None:
         """Let other tasks run, then apply the delayed writes that are due."""
         await anyio.lowlevel.checkpoint()
-        due = [apply for left, apply in self.delayed if left <= 0]
+        due = [apply for calls_left, apply in self.delayed if calls_left <= 0]
         self.delayed = [
-            (left - 1, apply) for left, apply in self.delayed if left > 0
+            (calls_left - 1, apply)
+            for calls_left, apply in self.delayed
+            if calls_left > 0
         ]
         for apply in due:
             await apply()
@@ -125,15 +127,15 @@
         while self.delayed:
             await self.advance()
 
-    async def let_rivals_write(self, key: str, count: int) -> None:
-        """Have other processes write the same contents again."""
+    async def write_as_rivals(self, key: str, count: int) -> None:
+        """Write the same payload `count` times as other processes would."""
         for _ in range(count):
             record = self.records.get(key)
             envelope = Envelope.unpack(record.value) if record else None
             payload = envelope.payload if envelope else b''
             self.rivals += 1
             base = envelope or Envelope((), b'')
-            written = base.replaced(f'rival-{self.rivals}', payload)
+            written = base.with_write(f'rival-{self.rivals}', payload)
             await MemoryStore.put_if(
                 self,
                 key,
@@ -143,7 +145,7 @@
 
 
 async def cancel_task() -> None:
-    """Cancel the attempt that makes the present call."""
+    """Cancel the attempt that makes the current call."""
     scope = current_scope.get()
     if scope is not None:
         scope.cancel()
--- a/tests/test_patches.py
+++ b/tests/test_patches.py
@@ -396,7 +396,7 @@
                 patch = Patch(f'other-{number}', head.version, set_tries(2))
                 payload = decide(head, patch, 0)
                 assert isinstance(payload, bytes)
-                envelope = envelope.replaced(f'write-{number}', payload)
+                envelope = envelope.with_write(f'write-{number}', payload)
             self.revision += 40
             self.records[key] = Record(key, envelope.pack(), self.revision)
         return await super().get(key)
