--- a/src/quetzaldyke/parts/__init__.py
+++ b/src/quetzaldyke/parts/__init__.py
@@ -1,1 +1,1 @@
-"""Coordination parts that can be embedded without the daemons."""
+"""Coordination components that can be embedded without the daemons."""
--- a/src/quetzaldyke/parts/errors.py
+++ b/src/quetzaldyke/parts/errors.py
@@ -1,7 +1,7 @@
-"""Collects findings with their place, so that they are reported together.
+"""Collects findings with their locations, to report them together.
 
-Checks add every finding to one collector and go on; the caller decides at
-the end whether to stop. An operator then sees all mistakes at once.
+Checks add each finding to one collector and continue. The caller decides at
+the end whether to stop, so that an operator sees all errors at once.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Finding:
-    """One mistake and the flag, field or line that holds it."""
+    """One error and the flag, field or line that it is in."""
 
     place: str
     message: str
 
     def __str__(self) -> str:
-        """Return the form that is printed to operators."""
+        """Return the text that is printed to operators."""
         return f'{self.place}: {self.message}'
 
 
@@ -37,13 +37,13 @@
 
     @property
     def found(self) -> bool:
-        """Tell whether anything was reported."""
+        """Tell whether there are any findings."""
         return bool(self.findings)
 
     def add(self, place: str, message: str) -> None:
-        """Record one finding."""
+        """Add one finding."""
         self.findings.append(Finding(place, message))
 
     def render(self) -> str:
-        """Return all findings, one a line, ordered by place."""
+        """Return all findings, one per line, ordered by place."""
         return '\n'.join(str(finding) for finding in sorted(self.findings))
--- a/src/quetzaldyke/parts/hlc.py
+++ b/src/quetzaldyke/parts/hlc.py
@@ -1,7 +1,8 @@
-"""Hybrid logical clock: orders events of several processes.
+"""Hybrid logical clock: orders the events of several processes.
 
-A stamp is never below any stamp the process has seen, so an effect always
-has a later stamp than its cause even when wall clocks differ.
+A new stamp is above every stamp that the process has observed, so an effect
+has a later stamp than its cause even if wall clocks differ. The exception is
+a peer whose clock runs ahead by more than `MAX_AHEAD_MS`.
 """
 
 from __future__ import annotations
@@ -13,31 +14,31 @@
 
 MS_IN_S: Final = 1000
 
-# A peer whose clock runs ahead by more than this is not followed, so that
-# one broken clock can't move the whole fleet's stamps into the future.
+# Stamps further ahead of the wall clock are not observed, so that one broken
+# clock can't move the stamps of the whole fleet into the future.
 MAX_AHEAD_MS: Final = 60_000
 
 
 class Stamp(NamedTuple):
-    """Wall time in ms, a counter within that ms, and the process id."""
+    """Wall time in ms, a counter within that millisecond, and a process id."""
 
     wall_ms: int
     counter: int
     process: str
 
     def __str__(self) -> str:
-        """Return a fixed-width form whose text order is the stamp order."""
+        """Return a fixed-width form that sorts as text in stamp order."""
         return f'{self.wall_ms:014d}.{self.counter:05d}@{self.process}'
 
 
 def wall_clock_ms() -> int:
-    """Return the wall time in milliseconds since 1970."""
+    """Return the wall time in milliseconds since the Unix epoch."""
     return int(time.time() * MS_IN_S)
 
 
 @dataclass(slots=True)
 class HybridClock:
-    """Clock of one process.
+    """Hybrid logical clock of one process.
 
     >>> clock = HybridClock('entry-1', read_wall_ms=lambda: 5)
     >>> clock.now() < clock.now()
@@ -53,7 +54,7 @@
     counter: int = field(default=0, init=False)
 
     def now(self) -> Stamp:
-        """Return a stamp above every stamp returned or observed before."""
+        """Return a stamp above all that were returned or observed before."""
         wall_ms = self.read_wall_ms()
         if wall_ms > self.wall_ms:
             self.wall_ms = wall_ms
@@ -63,7 +64,10 @@
         return Stamp(self.wall_ms, self.counter, self.process)
 
     def observe(self, stamp: Stamp) -> None:
-        """Advance past a stamp received from another process."""
+        """Advance the clock to a stamp received from another process.
+
+        A stamp more than `MAX_AHEAD_MS` ahead of the wall clock is ignored.
+        """
         if stamp.wall_ms > self.read_wall_ms() + MAX_AHEAD_MS:
             return
         if (stamp.wall_ms, stamp.counter) > (self.wall_ms, self.counter):
--- a/src/quetzaldyke/parts/timeline.py
+++ b/src/quetzaldyke/parts/timeline.py
@@ -1,6 +1,6 @@
-"""Ring buffer of events and the merge of several buffers.
+"""Ring buffer of events, and merging of several buffers.
 
-Each process keeps its latest events; operators merge the buffers or the log
+Each process keeps its latest events. Operators merge the buffers or the log
 files of all processes into one causal order.
 """
 
@@ -19,20 +19,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One thing that happened in one process."""
+    """One event of one process with its stamp."""
 
     stamp: Stamp
     name: str
     fields: dict[str, str]
 
     def as_row(self) -> list[object]:
-        """Return the form that is sent between processes."""
+        """Return the representation that is sent between processes."""
         return [list(self.stamp), self.name, self.fields]
 
 
 @dataclass(slots=True)
 class Timeline:
-    """Latest events of one process.
+    """Records the latest events of one process.
 
     >>> timeline = Timeline(HybridClock('a', read_wall_ms=lambda: 1))
     >>> timeline.record('request_done', request_id='r1').name
@@ -47,7 +47,10 @@
     )
 
     def record(self, name: str, **fields: object) -> Event:
-        """Append an event with the present stamp."""
+        """Append an event with the current stamp and return it.
+
+        Fields are stored as strings.
+        """
         texts = {key: str(content) for key, content in fields.items()}
         event = Event(self.clock.now(), name, texts)
         self.events.append(event)
@@ -55,5 +58,8 @@
 
 
 def merge(buffers: Iterable[Iterable[Event]]) -> list[Event]:
-    """Return the events of all buffers in stamp order."""
+    """Return the events of all buffers in stamp order.
+
+    Each buffer must be in stamp order already.
+    """
     return list(heapq.merge(*buffers, key=lambda event: event.stamp))
--- a/src/quetzaldyke/parts/timers.py
+++ b/src/quetzaldyke/parts/timers.py
@@ -1,7 +1,7 @@
-"""Timer service: one place that knows the time and runs periodic work.
+"""Monotonic clock and a timer service that runs periodic jobs.
 
-Parts subscribe with an interval. Tests pass a clock of their own and call
-`fire_due`, so no test has to sleep.
+Components subscribe jobs with an interval. Tests pass their own clock and
+call `fire_due`, so that no test has to sleep.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 
 from quetzaldyke.parts.errors import Errors
 
-# Jobs that are due within this time share one wake-up.
+# Minimum sleep, so that jobs due within this time share one wake-up.
 MIN_SLEEP_S: Final = 0.02
-# A job that is subscribed while the service sleeps waits no longer.
+# Maximum sleep, which limits the delay of a job that is subscribed meanwhile.
 MAX_SLEEP_S: Final = 0.25
 
 Job = Callable[[], Awaitable[None]]
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class Clock:
-    """Monotonic time in seconds.
+    """Source of the monotonic time.
 
     >>> Clock(read=lambda: 4.0).now()
     4.0
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class Subscription:
-    """Periodic work of one part."""
+    """A periodic job and when it is due next."""
 
     name: str
     interval_s: float
@@ -54,37 +54,38 @@
 class TimerService:
     """Runs subscribed jobs at their intervals.
 
-    A job that is still running when its next time comes is skipped, not
-    queued, so that a slow dependency can't pile up work.
+    A job that is still running when it is due again is skipped, not queued,
+    so that a slow dependency does not cause a backlog.
     """
 
     clock: Clock = field(default_factory=Clock)
     subscriptions: list[Subscription] = field(default_factory=list)
     failures: Errors = field(default_factory=Errors)
     on_failure: Callable[[str, Exception], None] | None = None
-    # When the next wake-up is planned; 0 before the first.
-    planned_s: float = 0.0
-    # Told how late each wake-up was; a long delay means the process paused.
-    pause_handlers: list[Callable[[float], None]] = field(default_factory=list)
+    # Time of the next planned wake-up; 0 before the first.
+    planned_wakeup_s: float = 0.0
+    # Called with the delay of each wake-up. A long delay means that the
+    # process was paused.
+    delay_handlers: list[Callable[[float], None]] = field(default_factory=list)
 
     def subscribe(self, name: str, interval_s: float, job: Job) -> Subscription:
-        """Run `job` every `interval_s` seconds from now on."""
+        """Run `job` every `interval_s` seconds, first at the next multiple."""
         due_s = next_due_s(self.clock.now(), interval_s)
         subscription = Subscription(name, interval_s, job, due_s)
         self.subscriptions.append(subscription)
         return subscription
 
     def unsubscribe(self, subscription: Subscription) -> None:
-        """Stop running the job of a subscription."""
+        """Stop running the job of a subscription; a running job finishes."""
         if subscription in self.subscriptions:
             self.subscriptions.remove(subscription)
 
     def on_pause(self, handler: Callable[[float], None]) -> None:
-        """Call `handler` with the seconds that a wake-up came late."""
-        self.pause_handlers.append(handler)
+        """Register `handler` to be called with the delay of each wake-up."""
+        self.delay_handlers.append(handler)
 
     def due(self) -> list[Subscription]:
-        """Return the subscriptions to run now and plan their next time."""
+        """Return the subscriptions to run now and set when they are due next."""
         now_s = self.clock.now()
         ready = []
         for subscription in self.subscriptions:
@@ -95,7 +96,7 @@
         return ready
 
     async def fire(self, subscription: Subscription) -> None:
-        """Run one job; a failing job is reported and runs again later."""
+        """Run one job; a failure is reported and the job stays subscribed."""
         subscription.running = True
         try:
             await subscription.job()
@@ -105,14 +106,14 @@
             subscription.running = False
 
     def report_failure(self, name: str, exc: Exception) -> None:
-        """Hand a job's failure to the owner of the service."""
+        """Pass a failure to `on_failure`, or else add it to `failures`."""
         if self.on_failure is None:
             self.failures.add(name, repr(exc))
             return
         self.on_failure(name, exc)
 
     async def fire_due(self) -> None:
-        """Run every due job one after the other (for tests)."""
+        """Run every due job sequentially (for tests)."""
         for subscription in self.due():
             await self.fire(subscription)
 
@@ -120,16 +121,18 @@
         """Run jobs as they become due, until cancelled."""
         async with anyio.create_task_group() as group:
             while True:
-                self.planned_s = self.next_wakeup_s()
-                # Negative when the process was paused just now.
-                await anyio.sleep(max(0.0, self.planned_s - self.clock.now()))
+                self.planned_wakeup_s = self.next_wakeup_s()
+                # Negative if the process was paused since the line above.
+                await anyio.sleep(
+                    max(0.0, self.planned_wakeup_s - self.clock.now())
+                )
                 self.report_delay()
                 for subscription in self.due():
                     subscription.running = True
                     group.start_soon(self.fire, subscription)
 
     def next_wakeup_s(self) -> float:
-        """Return when the next job is due, within the bounds of a sleep."""
+        """Return when the next job is due, limited to the sleep bounds."""
         now_s = self.clock.now()
         due_s = min(
             (one.due_s for one in self.subscriptions if not one.running),
@@ -139,24 +142,24 @@
 
     @property
     def delay_s(self) -> float:
-        """Return how late the planned wake-up is by now."""
-        if not self.planned_s:
+        """Return how long the planned wake-up is overdue."""
+        if not self.planned_wakeup_s:
             return 0.0
-        return max(0.0, self.clock.now() - self.planned_s)
+        return max(0.0, self.clock.now() - self.planned_wakeup_s)
 
     def report_delay(self) -> None:
-        """Tell the pause handlers once how late the wake-up came."""
+        """Pass the delay of the wake-up to the handlers, once per wake-up."""
         delay_s = self.delay_s
-        self.planned_s = self.clock.now()
-        for handler in self.pause_handlers:
+        self.planned_wakeup_s = self.clock.now()
+        for handler in self.delay_handlers:
             handler(delay_s)
 
 
 def next_due_s(now_s: float, interval_s: float) -> float:
-    """Return the next time on the interval's grid.
+    """Return the next multiple of the interval after `now_s`.
 
     Jobs with equal or multiple intervals then share their wake-ups, which
-    are half of the cost of an idle process.
+    make up half of the cost of an idle process.
 
     >>> next_due_s(10.3, 0.5)
     10.5
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -8,7 +8,7 @@
 
 
 class ManualTime:
-    """Time that a test sets."""
+    """Clock that a test sets."""
 
     def __init__(self) -> None:
         self.now_s = 100.0
@@ -25,7 +25,7 @@
 
 
 def test_jobs_run_at_their_intervals() -> None:
-    """Guards against jobs that run too often or are forgotten."""
+    """Guards against jobs that run too often or too rarely."""
     service, time = make_service()
     runs: list[str] = []
 
@@ -48,7 +48,7 @@
 
 
 def test_jobs_share_wakeups() -> None:
-    """Guards against a wake-up of its own for each subscription."""
+    """Guards against a separate wake-up for each subscription."""
     service, time = make_service()
 
     async def job() -> None:
@@ -61,7 +61,7 @@
 
 
 def test_failing_job_is_reported_and_runs_again() -> None:
-    """Guards against a job that stops for good after one failure."""
+    """Guards against a job that never runs again after a failure."""
     service, time = make_service()
     runs: list[int] = []
 
@@ -82,20 +82,20 @@
     assert service.failures.found
 
 
-def test_delay_is_told() -> None:
-    """Guards against a pause of the process that nobody notices."""
+def test_delay_is_reported_once() -> None:
+    """Guards against an unnoticed pause of the process."""
     service, time = make_service()
     delays: list[float] = []
     service.on_pause(delays.append)
-    service.planned_s = service.next_wakeup_s()
-    time.now_s = service.planned_s + 10
+    service.planned_wakeup_s = service.next_wakeup_s()
+    time.now_s = service.planned_wakeup_s + 10
     service.report_delay()
     service.report_delay()
     assert delays == [10.0, 0.0]
 
 
-def test_pause_between_planning_and_sleeping_ends_nothing() -> None:
-    """Guards against a process that ends when it was paused at that moment."""
+def test_pause_between_planning_and_sleeping() -> None:
+    """Guards against ending the service after a pause at that point."""
     readings = iter([100.0, 100.0, 105.0, 105.0])
     last = 105.0
 
