--- a/src/quetzaldyke/parts/claims.py
+++ b/src/quetzaldyke/parts/claims.py
@@ -157,7 +157,8 @@
     ) -> Result[None, ClaimError]:
         """Record the outcome of the caller's own claim; idempotent.
 
-        If the store fails, `retry_failed_writes` tries again.
+        `retry_failed_writes` retries a failed write to the bucket, but not a
+        failed write of a large outcome to a key of its own.
         """
         if len(outcome) > MAX_INLINE_BYTES:
             return await self.record_in_own_key(key_hash, claim_id, outcome)
@@ -239,7 +240,7 @@
         )
 
     def check_age(self, created_ms: int) -> Err[ClaimError] | None:
-        """Refuse keys that are expired or dated too far in the future."""
+        """Refuse a key whose claim may be gone, or is dated too far ahead."""
         age_ms = self.now_ms() - created_ms
         if age_ms > self.retention_ms:
             return Err(ClaimError('unknown', 'expired_key', f'{age_ms} ms old'))
--- a/src/quetzaldyke/parts/suspects.py
+++ b/src/quetzaldyke/parts/suspects.py
@@ -78,7 +78,7 @@
         fingerprints: Iterable[str],
         now_ms: int,
     ) -> CrashTable:
-        """Record one crash and return what is new, to send to other processes."""
+        """Record one crash; return what is new, to send to other processes."""
         crashes = {
             fingerprint: [crash_id]
             for fingerprint in fingerprints
@@ -128,14 +128,18 @@
         return 'apart' if len(uncleared_ids) == 1 else 'alone'
 
     def forget_old(self, now_ms: int) -> None:
-        """Drop the crash ids older than the retention time."""
+        """Drop the crash ids outside the retention time."""
         for table in (self.crashes, self.cleared):
             for fingerprint, ids in list(table.items()):
                 ids.difference_update(
                     [
-                        one
-                        for one in ids
-                        if not within_retention(one, now_ms, self.retention_ms)
+                        crash_id
+                        for crash_id in ids
+                        if not within_retention(
+                            crash_id,
+                            now_ms,
+                            self.retention_ms,
+                        )
                     ],
                 )
                 if not ids:
@@ -175,7 +179,7 @@
 def within_retention(crash_id: str, now_ms: int, retention_ms: int) -> bool:
     """Tell whether a crash is within the retention time.
 
-    False for a malformed id and for one that far in the future.
+    False for a malformed id, and for a time that far in the future.
     """
     time_ms = crash_time_ms(crash_id)
     return time_ms is not None and abs(now_ms - time_ms) < retention_ms
@@ -192,7 +196,9 @@
     for fingerprint, ids in added.items():
         known = table.get(fingerprint, set())
         new_ids = {
-            one for one in ids if within_retention(one, now_ms, retention_ms)
+            crash_id
+            for crash_id in ids
+            if within_retention(crash_id, now_ms, retention_ms)
         } - known
         if new_ids:
             table.setdefault(fingerprint, set()).update(new_ids)
--- a/src/quetzaldyke/parts/timers.py
+++ b/src/quetzaldyke/parts/timers.py
@@ -80,12 +80,12 @@
         if subscription in self.subscriptions:
             self.subscriptions.remove(subscription)
 
-    def on_pause(self, handler: Callable[[float], None]) -> None:
+    def on_wakeup(self, handler: Callable[[float], None]) -> None:
         """Register `handler` to be called with the delay of each wake-up."""
         self.delay_handlers.append(handler)
 
     def due(self) -> list[Subscription]:
-        """Return the subscriptions to run now and set when they are due next."""
+        """Return the subscriptions to run now and set their next due time."""
         now_s = self.clock.now()
         ready = []
         for subscription in self.subscriptions:
--- a/src/quetzaldyke/process/entry.py
+++ b/src/quetzaldyke/process/entry.py
@@ -325,7 +325,7 @@
     assert entry.once is not None
     timers = entry.timers
     timers.on_failure = entry.on_timer_failure
-    timers.on_pause(
+    timers.on_wakeup(
         lambda late_s: entry.metrics.observe_ms(
             'timer_delay_ms',
             late_s * MS_IN_S,
--- a/src/quetzaldyke/process/sidecar.py
+++ b/src/quetzaldyke/process/sidecar.py
@@ -110,6 +110,6 @@
     timers.subscribe('forget', FORGET_INTERVAL_S, every(forget_old))
     timers.subscribe('cache', CACHE_INTERVAL_S, process.watch.read_cache)
     timers.subscribe('state', STATE_INTERVAL_S, process.watch.read_state)
-    timers.on_pause(
+    timers.on_wakeup(
         lambda gap_s: sidecar_messages.note_gap(process, gap_s),
     )
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -86,7 +86,7 @@
     """Guards against an unnoticed pause of the process."""
     service, time = make_service()
     delays: list[float] = []
-    service.on_pause(delays.append)
+    service.on_wakeup(delays.append)
     service.planned_wakeup_s = service.next_wakeup_s()
     time.now_s = service.planned_wakeup_s + 10
     service.report_delay()
