--- a/src/quetzaldyke/gateway/watch.py
+++ b/src/quetzaldyke/gateway/watch.py
@@ -11,7 +11,7 @@
 from result import Err
 
 from quetzaldyke.gateway.logs import log_event
-from quetzaldyke.parts.backoff import BackoffOptions, pause_s
+from quetzaldyke.parts.backoff import BackoffOptions, backoff_s
 from quetzaldyke.parts.transactions import (
     Snapshot,
     TransactionalStore,
@@ -53,7 +53,7 @@
                 await anyio.sleep(self.poll_delay_s())
                 continue
             self.failures += 1
-            await anyio.sleep(pause_s(RETRY, self.failures, random.uniform))
+            await anyio.sleep(backoff_s(RETRY, self.failures, random.uniform))
 
     async def poll(self) -> bool:
         """Make one call to the store; return whether it succeeded.
--- a/src/quetzaldyke/process/entry.py
+++ b/src/quetzaldyke/process/entry.py
@@ -325,7 +325,7 @@
     assert entry.once is not None
     timers = entry.timers
     timers.on_failure = entry.on_timer_failure
-    timers.on_pause(
+    timers.on_wakeup(
         lambda late_s: entry.metrics.observe_ms(
             'timer_delay_ms',
             late_s * MS_IN_S,
@@ -333,7 +333,9 @@
     )
     timers.subscribe('instances', LIST_INTERVAL_S, entry.membership.refresh)
     timers.subscribe('deadlines', EXPIRY_INTERVAL_S, entry.expire_calls)
-    timers.subscribe('outcomes', SETTLE_INTERVAL_S, entry.claims.settle)
+    timers.subscribe(
+        'outcomes', SETTLE_INTERVAL_S, entry.claims.retry_failed_writes
+    )
     timers.subscribe('claims', PRUNE_INTERVAL_S, entry.prune_claims)
     timers.subscribe('usage', REPORT_INTERVAL_S, entry.usage.exchange)
     timers.subscribe('suspects', FORGET_INTERVAL_S, entry.suspects.forget_old)
--- a/src/quetzaldyke/request/router.py
+++ b/src/quetzaldyke/request/router.py
@@ -16,7 +16,7 @@
 
 from quetzaldyke.connection.messages import Message, Report
 from quetzaldyke.connection.peer import PeerSession
-from quetzaldyke.parts.backoff import BackoffOptions, ceiling_s
+from quetzaldyke.parts.backoff import BackoffOptions, max_backoff_s
 from quetzaldyke.parts.timers import Clock
 from quetzaldyke.process.fleet import Fleet, SidecarLink
 from quetzaldyke.request.model import OnlineRequest
@@ -180,7 +180,7 @@
         """Eject an endpoint for a time that doubles per failure in a row."""
         ejection = self.ejections.setdefault(name, Ejection())
         ejection.failures += 1
-        pause = ceiling_s(EJECTION_BACKOFF, ejection.failures)
+        pause = max_backoff_s(EJECTION_BACKOFF, ejection.failures)
         ejection.until_s = self.clock.now() + pause
 
     def record_success(self, name: str) -> None:
