--- a/src/quetzaldyke/commands/waiting.py
+++ b/src/quetzaldyke/commands/waiting.py
@@ -29,9 +29,9 @@
     make_operators_app,
 )
 from quetzaldyke.version.configuration import EMPTY, pack_document
-from quetzaldyke.version.everywhere import EverywhereWait
 from quetzaldyke.version.exchange import ConfigExchange
 from quetzaldyke.version.holder import ConfigHolder
+from quetzaldyke.version.rollout import RolloutMonitor
 
 KEY: Final = 'waiting-probe-key'
 WAIT_S: Final = 10.0
@@ -79,8 +79,8 @@
     """Return the context of an entry without peers."""
     fleet = Fleet(Instance('probe', 'entry', 'a', ''), 1)
     exchange = ConfigExchange(holder, Clock(), random.random)
-    everywhere = EverywhereWait(fleet, exchange, Clock())
-    everywhere.subscribe()
+    rollout = RolloutMonitor(fleet, exchange, Clock())
+    rollout.subscribe()
 
     async def no_text(name: str) -> str:
         return ''
@@ -94,7 +94,7 @@
         MemoryStore(),
         fleet,
         Metrics(),
-        everywhere,
+        rollout,
         make_log_event('probe', HybridClock('probe'))[0],
         str,
         no_events,  # type: ignore[arg-type]
--- a/src/quetzaldyke/process/config_part.py
+++ b/src/quetzaldyke/process/config_part.py
@@ -16,11 +16,14 @@
     OperatorsContext,
     make_operators_app,
 )
-from quetzaldyke.version.everywhere import EverywhereWait
+from quetzaldyke.version.config_sync import ConfigSync
+from quetzaldyke.version.endpoint_reports import EndpointReports
 from quetzaldyke.version.order_calls import OrderCalls
-from quetzaldyke.version.order_giver import RECONCILE_INTERVAL_S, OrderGiver
-from quetzaldyke.version.seen import SeenEndpoints
-from quetzaldyke.version.spread import Spread
+from quetzaldyke.version.placement_controller import (
+    RECONCILE_INTERVAL_S,
+    PlacementController,
+)
+from quetzaldyke.version.rollout import RolloutMonitor
 
 if TYPE_CHECKING:
     from quetzaldyke.process.entry import EntryProcess
@@ -32,60 +35,60 @@
 class ConfigParts:
     """Configuration of one entry; kept at `entry.versions`."""
 
-    spread: Spread
-    everywhere: EverywhereWait
+    sync: ConfigSync
+    rollout: RolloutMonitor
     events: EventQueries
-    orders: OrderGiver
+    controller: PlacementController
 
 
 async def start(entry: EntryProcess) -> None:
     """Start to follow the configuration."""
     assert entry.group is not None
-    spread = Spread.from_parts(
+    sync = ConfigSync.from_parts(
         entry.store,
         entry.config,
         entry.fleet,
         entry.clock,
         entry.log_event,
     )
-    spread.subscribe(entry.timers)
+    sync.subscribe(entry.timers)
     events = EventQueries(entry.fleet, entry.timeline)
     events.subscribe()
-    everywhere = EverywhereWait(entry.fleet, spread.exchange, entry.clock)
-    everywhere.subscribe()
-    orders = make_order_giver(entry)
-    orders.subscribe()
-    entry.versions = ConfigParts(spread, everywhere, events, orders)
+    rollout = RolloutMonitor(entry.fleet, sync.exchange, entry.clock)
+    rollout.subscribe()
+    controller = make_placement_controller(entry)
+    controller.subscribe()
+    entry.versions = ConfigParts(sync, rollout, events, controller)
     entry.timers.subscribe(
         'placement',
         RECONCILE_INTERVAL_S,
-        orders.reconcile,
+        controller.reconcile,
     )
-    entry.group.start_soon(spread.run)
-    entry.group.start_soon(everywhere.run)
+    entry.group.start_soon(sync.run)
+    entry.group.start_soon(rollout.run)
 
 
-def make_order_giver(entry: EntryProcess) -> OrderGiver:
+def make_placement_controller(entry: EntryProcess) -> PlacementController:
     """Return the entry's part in giving orders to engines."""
     assert entry.group is not None
 
-    return OrderGiver(
+    return PlacementController(
         entry.store,
         entry.config,
         entry.fleet,
         entry.log_event,
         entry.group,
-        SeenEndpoints(
+        EndpointReports(
             entry.fleet, make_reach(entry.fleet, lambda: entry.link_options)
         ),
         OrderCalls(entry.fleet),
     )
 
 
-def unready_reason(entry: EntryProcess, spread: Spread) -> str:
+def unready_reason(entry: EntryProcess, sync: ConfigSync) -> str:
     """Return why the entry is not ready, or nothing."""
     reason = entry.unready_reason()
-    if not reason and not spread.settled:
+    if not reason and not sync.synced:
         return 'the configuration may be older than that of the peers'
     return reason
 
@@ -105,12 +108,12 @@
         store=entry.store,
         fleet=entry.fleet,
         metrics=entry.metrics,
-        versions=parts.everywhere,
+        versions=parts.rollout,
         log_event=entry.log_event,
-        unready_reason=lambda: unready_reason(entry, parts.spread),
+        unready_reason=lambda: unready_reason(entry, parts.sync),
         gather_events=parts.events.gather,
         explain=lambda name: tell_events(parts.events, name),
-        on_head=parts.spread.on_head,
+        on_head=parts.sync.on_head,
     )
     return make_operators_app(context).routes
 
--- a/src/quetzaldyke/process/operators_http.py
+++ b/src/quetzaldyke/process/operators_http.py
@@ -81,10 +81,10 @@
 class FleetVersions(Protocol):
     """What the interface asks of the spread of versions."""
 
-    def told_by(self, instance: str) -> int | None:
+    def reported_version(self, instance: str) -> int | None:
         """Return the version that a process last reported."""
 
-    async def wait_everywhere(
+    async def wait_for_rollout(
         self,
         version: int,
         timeout_s: float,
@@ -203,7 +203,7 @@
         body.base_version,
         body.patch_id,
         body.patch,
-        known=(context.holder.version, context.holder.current),
+        decoded=(context.holder.version, context.holder.current),
     )
     log_patch(context, body, outcome)
     if isinstance(outcome, Err):
@@ -258,7 +258,7 @@
     timeout_s = number_of(request, 'timeout_s', DEFAULT_WAIT_S)
     if version is None or timeout_s is None:
         return error(BAD_REQUEST, 'malformed', 'version must be a number')
-    behind = await context.versions.wait_everywhere(
+    behind = await context.versions.wait_for_rollout(
         int(version),
         min(max(timeout_s, 0), MAX_WAIT_S),
     )
@@ -318,7 +318,7 @@
         'failure_domain': instance.failure_domain,
         'pool': instance.pool,
         'listed_leaving': instance.leaving,
-        'config_version': context.versions.told_by(instance.instance),
+        'config_version': context.versions.reported_version(instance.instance),
         'connected': is_connected(context.fleet, instance.instance),
     }
     if link is not None and link.report is not None:
--- a/src/quetzaldyke/version/spread.py
+++ b/src/quetzaldyke/version/config_sync.py
@@ -34,22 +34,22 @@
 from quetzaldyke.version.configuration import Configuration
 from quetzaldyke.version.exchange import CHECK_INTERVAL_S, ConfigExchange
 from quetzaldyke.version.holder import ConfigHolder
-from quetzaldyke.version.latest import LatestReader
 from quetzaldyke.version.store import CONFIG_KEY, Head
+from quetzaldyke.version.version_hint import VersionHintReader
 
 WATCHERS_PER_DOMAIN: Final = 3
 WATCH_RANK_KEY: Final = 'config-watch'
 POLL_INTERVAL_S: Final = 4.0
 # A process that starts in an outage gives its peers this long to connect,
 # so that it does not start from a peer that is itself behind.
-PEERS_WAIT_S: Final = 3.0
+PEER_CONNECT_WAIT_S: Final = 3.0
 WATCH_RETRY_S: Final = 0.5
 # The service's protocol takes the next revision; 0 means the present one.
 FROM_NOW: Final = -1
 
 
 @dataclass(slots=True)
-class Spread:
+class ConfigSync:
     """Where one entry learns of versions."""
 
     store: KeyValueStore
@@ -58,13 +58,13 @@
     clock: Clock
     log_event: LogEvent
     exchange: ConfigExchange
-    latest: LatestReader = field(default_factory=LatestReader)
+    version_hint: VersionHintReader = field(default_factory=VersionHintReader)
     # True once the value was read, or the peers' highest version is held.
-    settled: bool = False
-    first_peer_s: float | None = None
+    synced: bool = False
+    first_peer_at_s: float | None = None
     last_revision: int = 0
     # Whether the watch may start after the last revision seen.
-    watch_gave: bool = True
+    watch_delivered: bool = True
 
     @classmethod
     def from_parts(
@@ -74,10 +74,10 @@
         fleet: Fleet,
         clock: Clock,
         log_event: LogEvent,
-        draw: Callable[[], float] = random.random,
-    ) -> Spread:
+        random_fraction: Callable[[], float] = random.random,
+    ) -> ConfigSync:
         """Build the spread of one entry."""
-        exchange = ConfigExchange(holder, clock, draw)
+        exchange = ConfigExchange(holder, clock, random_fraction)
         return cls(store, holder, fleet, clock, log_event, exchange)
 
     def subscribe(self, timers: TimerService) -> None:
@@ -98,9 +98,9 @@
 
     async def on_open(self, session: PeerSession) -> None:
         """Take a new peer into the exchange."""
-        if self.first_peer_s is None:
-            self.first_peer_s = self.clock.now()
-        self.exchange.opened(session)
+        if self.first_peer_at_s is None:
+            self.first_peer_at_s = self.clock.now()
+        self.exchange.add_peer(session)
 
     def on_change(self, version: int, configuration: Configuration) -> None:
         """Announce an adopted version."""
@@ -109,10 +109,14 @@
 
     def on_head(self, head: Head) -> None:
         """Adopt a value that was read; the last read wins only if higher."""
-        self.settled = True
+        self.synced = True
         if head.version <= self.holder.version:
             return
-        later = head.since(self.holder.version) if self.holder.version else None
+        later = (
+            head.patches_since(self.holder.version)
+            if self.holder.version
+            else None
+        )
         if later is not None and self.holder.adopt_patches(
             head.version,
             [patch.packed_operations for patch in later],
@@ -129,31 +133,31 @@
     async def check(self) -> None:
         """Keep the exchange going and settle a start without the store."""
         self.exchange.check()
-        if not self.settled and self.peers_agree():
-            self.settled = True
+        if not self.synced and self.matches_peers():
+            self.synced = True
             self.log_event('config_from_peers', version=self.holder.version)
 
-    def peers_agree(self) -> bool:
+    def matches_peers(self) -> bool:
         """Tell whether this entry holds the highest version of its peers.
 
         At a start it waits for every listed entry, or for PEERS_WAIT_S after
         the first peer.
         """
         version = self.holder.version
-        if not version or version < self.exchange.highest_told():
+        if not version or version < self.exchange.highest_peer_version():
             return False
         absent = set(self.fleet.live_entries()) - {
             self.fleet.own.instance,
             *self.fleet.entries,
         }
-        waited_s = self.clock.now() - (self.first_peer_s or 0)
-        return not absent or waited_s >= PEERS_WAIT_S
+        waited_s = self.clock.now() - (self.first_peer_at_s or 0)
+        return not absent or waited_s >= PEER_CONNECT_WAIT_S
 
     async def poll(self) -> None:
         """Look for a new version; a failed look is repeated by the timer."""
-        if self.settled:
+        if self.synced:
             version = self.holder.version
-            if not await self.latest.should_read(self.store, version):
+            if not await self.version_hint.should_read(self.store, version):
                 return
         await self.refresh()
 
@@ -191,15 +195,15 @@
         follows that revision; a watch that ends without a change is
         therefore followed by one from now on.
         """
-        after = self.last_revision if self.watch_gave else FROM_NOW
-        self.watch_gave = after == FROM_NOW
+        after = self.last_revision if self.watch_delivered else FROM_NOW
+        self.watch_delivered = after == FROM_NOW
         async for change in self.store.watch(CONFIG_KEY, after):
-            self.watch_gave = True
-            self.on_change_seen(change)
+            self.watch_delivered = True
+            self.on_watch_event(change)
             if not self.is_watcher():
                 return
 
-    def on_change_seen(self, change: Change) -> None:
+    def on_watch_event(self, change: Change) -> None:
         """Adopt the value of a change that the watch gave."""
         entry = change.entry
         self.last_revision = max(self.last_revision, entry.revision)
@@ -211,10 +215,10 @@
     """Return the entries of a failure domain that watch the value."""
     listed = [fleet.own, *fleet.instances.values()]
     names = {
-        one.instance
-        for one in listed
-        if one.role == 'entry'
-        and one.failure_domain == failure_domain
-        and not one.leaving
+        row.instance
+        for row in listed
+        if row.role == 'entry'
+        and row.failure_domain == failure_domain
+        and not row.leaving
     }
     return ranking(names, WATCH_RANK_KEY)[:WATCHERS_PER_DOMAIN]
--- a/src/quetzaldyke/version/configuration.py
+++ b/src/quetzaldyke/version/configuration.py
@@ -21,13 +21,13 @@
 Share = Annotated[float, Field(ge=0, le=1)]
 
 
-class Strict(BaseModel):
+class StrictModel(BaseModel):
     """Model that refuses unknown fields."""
 
     model_config = ConfigDict(extra='forbid', frozen=True)
 
 
-class Pool(Strict):
+class Pool(StrictModel):
     """Endpoints that serve one model or one plain service."""
 
     kind: Literal['engine', 'service'] = 'engine'
@@ -43,7 +43,7 @@
     spill_ratio: float = Field(default=0.8, gt=0, le=1)
 
 
-class Organisation(Strict):
+class Organisation(StrictModel):
     """A customer and its limits over the whole fleet."""
 
     key_sha256: KeyHash
@@ -53,7 +53,7 @@
     queued_items: int = Field(default=1_000_000, ge=1)
 
 
-class LendingRule(Strict):
+class LendingRule(StrictModel):
     """Work of `borrower` may use this share of the lender's slots."""
 
     borrower: Name
@@ -63,13 +63,13 @@
     max_share: Share = 1.0
 
 
-class WeightStore(Strict):
+class WeightStore(StrictModel):
     """Limits of the weight store."""
 
     concurrent_loads: int = Field(default=2, ge=1)
 
 
-class Configuration(Strict):
+class Configuration(StrictModel):
     """Everything that operators set for the fleet."""
 
     pools: dict[Name, Pool] = Field(default_factory=dict)
@@ -115,7 +115,7 @@
         return Ok(Configuration.model_validate_json(json.dumps(document)))
     except ModelError as exc:
         errors = Errors()
-        for one in exc.errors(include_input=False, include_url=False):
-            place = '/'.join(str(part) for part in one['loc'])
-            errors.add(f'/{place}', one['msg'])
+        for error in exc.errors(include_input=False, include_url=False):
+            pointer = '/'.join(str(part) for part in error['loc'])
+            errors.add(f'/{pointer}', error['msg'])
         return Err(errors)
--- a/src/quetzaldyke/version/seen.py
+++ b/src/quetzaldyke/version/endpoint_reports.py
@@ -21,23 +21,23 @@
 
 # Visits in one round of 2 s. A visit costs about 1 KB; one turn through 7,900
 # endpoints takes about half an hour.
-VISITS: Final = 8
-VISIT_WAIT_S: Final = 2.0
-POLL_S: Final = 0.05
+POLLS_PER_ROUND: Final = 8
+POLL_TIMEOUT_S: Final = 2.0
+CHECK_INTERVAL_S: Final = 0.05
 
 # Connects to an instance until it is cancelled.
-Reach = Callable[[Instance], Coroutine[Any, Any, None]]
+Connect = Callable[[Instance], Coroutine[Any, Any, None]]
 
 
 @dataclass(slots=True)
-class SeenEndpoints:
+class EndpointReports:
     """Latest report of each endpoint."""
 
     fleet: Fleet
-    reach: Reach
+    connect: Connect
     reports: dict[str, Report] = field(default_factory=dict)
-    visited: set[str] = field(default_factory=set)
-    visit_order: list[str] = field(default_factory=list)
+    polled: set[str] = field(default_factory=set)
+    poll_order: list[str] = field(default_factory=list)
 
     def subscribe(self) -> None:
         """Take part in the fleet's messages."""
@@ -54,33 +54,33 @@
         known = dict(self.fleet.instances)
         known.update({name: link.instance for name, link in links.items()})
         rows = (
-            (one, self.reports.get(name))
-            for name, one in sorted(known.items())
-            if one.role == 'sidecar'
+            (row, self.reports.get(name))
+            for name, row in sorted(known.items())
+            if row.role == 'sidecar'
         )
         return [
             Endpoint(
-                one.instance,
-                one.pool,
-                report.endpoint_up and not (report.leaving or one.leaving),
+                row.instance,
+                row.pool,
+                report.endpoint_up and not (report.leaving or row.leaving),
                 report.model,
                 report.version,
                 report.adapter,
             )
-            for one, report in rows
+            for row, report in rows
             if report is not None
         ]
 
-    def knows_all(self, pools: Collection[str]) -> bool:
+    def all_polled(self, pools: Collection[str]) -> bool:
         """Tell whether every listed endpoint of the pools was looked at."""
-        known = {*self.visited, *self.reports}
+        known = {*self.polled, *self.reports}
         return all(
-            one.instance in known
-            for one in self.fleet.instances.values()
-            if one.role == 'sidecar' and one.pool in pools
+            row.instance in known
+            for row in self.fleet.instances.values()
+            if row.role == 'sidecar' and row.pool in pools
         )
 
-    def home_of(self, instance: str) -> str:
+    def own_pool_of(self, instance: str) -> str:
         """Return the pool that an endpoint belongs to."""
         link = self.fleet.links.get(instance)
         row = link.instance if link else self.fleet.instances.get(instance)
@@ -95,39 +95,39 @@
         link = self.fleet.links.get(instance)
         row = self.fleet.instances.get(instance)
         if link is None and row is not None:
-            group.start_soon(self.reach, row)
-            with anyio.move_on_after(VISIT_WAIT_S):
+            group.start_soon(self.connect, row)
+            with anyio.move_on_after(POLL_TIMEOUT_S):
                 while instance not in self.fleet.links:
-                    await anyio.sleep(POLL_S)
+                    await anyio.sleep(CHECK_INTERVAL_S)
             link = self.fleet.links.get(instance)
         return link.session if link else None
 
-    async def visit(self, pools: Collection[str]) -> None:
+    async def poll(self, pools: Collection[str]) -> None:
         """Fetch the reports of a few endpoints outside the subset."""
         for name in list(self.reports):
             if name not in self.fleet.instances | self.fleet.links:
                 self.reports.pop(name)
-        absent = {
-            one.instance
-            for one in self.fleet.instances.values()
-            if one.role == 'sidecar'
-            and one.pool in pools
-            and one.instance not in self.fleet.links
+        unconnected = {
+            row.instance
+            for row in self.fleet.instances.values()
+            if row.role == 'sidecar'
+            and row.pool in pools
+            and row.instance not in self.fleet.links
         }
-        kept = [name for name in self.visit_order if name in absent]
-        queue = [*sorted(absent.difference(kept)), *kept]
-        self.visit_order = [*queue[VISITS:], *queue[:VISITS]]
+        kept = [name for name in self.poll_order if name in unconnected]
+        queue = [*sorted(unconnected.difference(kept)), *kept]
+        self.poll_order = [*queue[POLLS_PER_ROUND:], *queue[:POLLS_PER_ROUND]]
         async with anyio.create_task_group() as group:
-            for name in queue[:VISITS]:
-                group.start_soon(self.visit_one, name)
+            for name in queue[:POLLS_PER_ROUND]:
+                group.start_soon(self.poll_endpoint, name)
 
-    async def visit_one(self, instance: str) -> None:
+    async def poll_endpoint(self, instance: str) -> None:
         """Connect to an endpoint until it has reported."""
-        self.visited.add(instance)
+        self.polled.add(instance)
         self.reports.pop(instance, None)
-        with anyio.move_on_after(VISIT_WAIT_S):
+        with anyio.move_on_after(POLL_TIMEOUT_S):
             async with anyio.create_task_group() as group:
                 await self.session_to(instance, group)
                 while instance not in self.reports:
-                    await anyio.sleep(POLL_S)
+                    await anyio.sleep(CHECK_INTERVAL_S)
                 group.cancel_scope.cancel()
--- a/src/quetzaldyke/version/exchange.py
+++ b/src/quetzaldyke/version/exchange.py
@@ -28,20 +28,20 @@
 REQUEST_TIMEOUT_S: Final = 1.0
 # Sidecars connect to several entries; the first push normally makes the
 # others unnecessary, so each entry waits for a time of its own.
-PUSH_AFTER_S: Final = 0.5
-PUSH_SPREAD_S: Final = 1.5
-PUSH_REPEAT_S: Final = 3.0
+PUSH_DELAY_S: Final = 0.5
+PUSH_JITTER_S: Final = 1.5
+PUSH_RETRY_S: Final = 3.0
 # A peer of an older release may refuse every push; the time between pushes
 # doubles up to 96 s.
 MAX_PUSH_DOUBLINGS: Final = 5
 # A delta costs the receiver a replay; it must save bytes to be worth it.
-DELTA_SHARE: Final = 0.5
+MAX_DELTA_RATIO: Final = 0.5
 
 Random = Callable[[], float]
 
 
 @dataclass(slots=True)
-class KnownPeer:
+class PeerState:
     """What one connected peer has told."""
 
     session: PeerSession
@@ -58,41 +58,41 @@
     holder: ConfigHolder
     clock: Clock
     random: Random
-    peers: dict[int, KnownPeer] = field(default_factory=dict)
-    asked: PeerSession | None = None
-    asked_at_s: float = 0.0
+    peers: dict[int, PeerState] = field(default_factory=dict)
+    requested_peer: PeerSession | None = None
+    requested_at_s: float = 0.0
     # Counts for metrics and measurements.
     sent_deltas: int = 0
     sent_documents: int = 0
 
-    def opened(self, session: PeerSession) -> None:
+    def add_peer(self, session: PeerSession) -> None:
         """Take a new connection; its Hello told a version."""
-        self.peers[id(session)] = KnownPeer(session, 0)
+        self.peers[id(session)] = PeerState(session, 0)
         # The Hello may be older than an adoption that happened meanwhile.
         session.send(ConfigVersion(self.holder.version))
-        self.note(session, session.remote.config_version)
+        self.record_version(session, session.remote.config_version)
 
-    def forget_closed(self) -> None:
+    def remove_closed_peers(self) -> None:
         """Drop connections that have ended."""
         for key, peer in list(self.peers.items()):
             if peer.session.closed:
                 self.peers.pop(key)
 
-    def told_by(self, instance: str) -> int | None:
+    def reported_version(self, instance: str) -> int | None:
         """Return the version that a connected process last told."""
         for peer in self.peers.values():
             if peer.session.remote.instance == instance:
                 return None if peer.session.closed else peer.version
         return None
 
-    def highest_told(self) -> int:
+    def highest_peer_version(self) -> int:
         """Return the highest version of the connected peers."""
         return max(
-            (one.version for one in self.open_peers()),
+            (peer.version for peer in self.open_peers()),
             default=0,
         )
 
-    def open_peers(self) -> list[KnownPeer]:
+    def open_peers(self) -> list[PeerState]:
         """Return the peers whose connection is open."""
         return [peer for peer in self.peers.values() if not peer.session.closed]
 
@@ -104,18 +104,18 @@
         """Handle a message; True when a higher version was adopted."""
         match message:
             case Heartbeat(config_version=version):
-                self.note(session, version)
+                self.record_version(session, version)
             case ConfigVersion(version=version):
-                self.note(session, version)
+                self.record_version(session, version)
             case ConfigRequest(version=version):
-                self.answer(session, version)
+                self.answer_request(session, version)
             case ConfigPush():
-                return self.adopt(session, message)
+                return self.adopt_push(session, message)
             case ConfigDelta():
                 return self.adopt_delta(session, message)
         return False
 
-    def note(self, session: PeerSession, version: int) -> None:
+    def record_version(self, session: PeerSession, version: int) -> None:
         """Remember a peer's version; ask it if it is ahead."""
         peer = self.peers.get(id(session))
         if peer is None:
@@ -124,9 +124,9 @@
         if peer.version >= self.holder.version:
             peer.push_at_s = 0
         if peer.version > self.holder.version:
-            self.ask(peer)
+            self.request_from(peer)
 
-    def ask(self, peer: KnownPeer) -> None:
+    def request_from(self, peer: PeerState) -> None:
         """Ask an entry for its version unless another is being asked.
 
         Sidecars are not asked; they push to entries that stay behind.
@@ -137,19 +137,21 @@
             # Another copy of a document that this release can't read.
             return
         now_s = self.clock.now()
-        waiting = self.asked is not None and not self.asked.closed
-        if waiting and now_s - self.asked_at_s < REQUEST_TIMEOUT_S:
+        pending = (
+            self.requested_peer is not None and not self.requested_peer.closed
+        )
+        if pending and now_s - self.requested_at_s < REQUEST_TIMEOUT_S:
             return
-        self.asked = peer.session
-        self.asked_at_s = now_s
+        self.requested_peer = peer.session
+        self.requested_at_s = now_s
         peer.session.send(ConfigRequest(self.holder.version))
 
-    def answer(self, session: PeerSession, version: int) -> None:
+    def answer_request(self, session: PeerSession, version: int) -> None:
         """Send a delta if that is cheaper, else the whole document."""
         if version >= self.holder.version:
             return
         patches = self.holder.patches_since(version) if version else None
-        if patches is not None and self.is_cheap(patches):
+        if patches is not None and self.saves_bytes(patches):
             self.sent_deltas += 1
             session.send(
                 ConfigDelta(
@@ -162,26 +164,26 @@
             return
         self.push(session)
 
-    def is_cheap(self, patches: list[bytes]) -> bool:
+    def saves_bytes(self, patches: list[bytes]) -> bool:
         """Tell whether patches save enough bytes against the document."""
-        size = sum(len(one) for one in patches)
-        return size < len(self.holder.document) * DELTA_SHARE
+        size = sum(len(patch) for patch in patches)
+        return size < len(self.holder.document) * MAX_DELTA_RATIO
 
     def push(self, session: PeerSession) -> None:
         """Send the whole document."""
         self.sent_documents += 1
         session.send(ConfigPush(self.holder.version, self.holder.document))
 
-    def adopt(self, session: PeerSession, push: ConfigPush) -> bool:
+    def adopt_push(self, session: PeerSession, push: ConfigPush) -> bool:
         """Take a whole document."""
-        self.answered_by(session)
+        self.end_request(session)
         adopted = self.holder.adopt(push.version, push.document)
-        self.note(session, push.version)
+        self.record_version(session, push.version)
         return adopted
 
     def adopt_delta(self, session: PeerSession, delta: ConfigDelta) -> bool:
         """Take patches; ask for the whole document if they don't fit."""
-        self.answered_by(session)
+        self.end_request(session)
         if delta.version <= self.holder.version:
             return False
         if delta.base_version == self.holder.version and (
@@ -192,15 +194,15 @@
             )
         ):
             return True
-        self.asked = session
-        self.asked_at_s = self.clock.now()
+        self.requested_peer = session
+        self.requested_at_s = self.clock.now()
         session.send(ConfigRequest(0))
         return False
 
-    def answered_by(self, session: PeerSession) -> None:
+    def end_request(self, session: PeerSession) -> None:
         """End the request under way if this peer was asked."""
-        if self.asked is session:
-            self.asked = None
+        if self.requested_peer is session:
+            self.requested_peer = None
 
     def announce(self) -> None:
         """Tell every peer the version in force."""
@@ -210,23 +212,23 @@
 
     def check(self) -> None:
         """Ask again when behind, and push to peers that stay behind."""
-        self.forget_closed()
+        self.remove_closed_peers()
         ahead = max(
             self.open_peers(),
-            key=self.preference,
+            key=self.request_priority,
             default=None,
         )
         if ahead is not None and ahead.version > self.holder.version:
-            self.ask(ahead)
+            self.request_from(ahead)
         for peer in self.open_peers():
             self.push_if_due(peer)
 
-    def preference(self, peer: KnownPeer) -> tuple[bool, int, bool]:
+    def request_priority(self, peer: PeerState) -> tuple[bool, int, bool]:
         """Return the order in which peers are asked."""
         is_entry = peer.session.remote.role == 'entry'
-        return is_entry, peer.version, peer.session is not self.asked
+        return is_entry, peer.version, peer.session is not self.requested_peer
 
-    def push_if_due(self, peer: KnownPeer) -> None:
+    def push_if_due(self, peer: PeerState) -> None:
         """Push to a peer that has been behind for long enough."""
         if peer.version >= self.holder.version:
             peer.push_at_s = 0
@@ -234,10 +236,10 @@
             return
         now_s = self.clock.now()
         if not peer.push_at_s:
-            delay_s = PUSH_AFTER_S + PUSH_SPREAD_S * self.random()
+            delay_s = PUSH_DELAY_S + PUSH_JITTER_S * self.random()
             peer.push_at_s = now_s + delay_s
         elif now_s >= peer.push_at_s:
             repeats = min(peer.pushes, MAX_PUSH_DOUBLINGS)
-            peer.push_at_s = now_s + PUSH_REPEAT_S * 2**repeats
+            peer.push_at_s = now_s + PUSH_RETRY_S * 2**repeats
             peer.pushes += 1
             self.push(peer.session)
--- a/src/quetzaldyke/version/holder.py
+++ b/src/quetzaldyke/version/holder.py
@@ -17,7 +17,7 @@
     pack_document,
     unpack_document,
 )
-from quetzaldyke.version.patching import digest_of_document, replay
+from quetzaldyke.version.patching import configuration_digest, replay
 
 KEPT_PATCHES: Final = 64
 
@@ -40,8 +40,8 @@
         default_factory=lambda: deque(maxlen=KEPT_PATCHES),
     )
     # Packed form and digest of the present version, made when asked for.
-    packed: bytes | None = None
-    digested: str = ''
+    document_cache: bytes | None = None
+    digest_cache: str = ''
 
     @property
     def current(self) -> Configuration:
@@ -56,16 +56,16 @@
     @property
     def document(self) -> bytes:
         """Return the packed form of the present version."""
-        if self.packed is None:
-            self.packed = pack_document(self.current)
-        return self.packed
+        if self.document_cache is None:
+            self.document_cache = pack_document(self.current)
+        return self.document_cache
 
     @property
     def digest(self) -> str:
         """Return the digest of the present version."""
-        if not self.digested:
-            self.digested = digest_of_document(self.current)
-        return self.digested
+        if not self.digest_cache:
+            self.digest_cache = configuration_digest(self.current)
+        return self.digest_cache
 
     def adopt(self, version: int, document: bytes) -> bool:
         """Put a packed document in force; False if not higher or invalid."""
@@ -78,8 +78,8 @@
             self.refused_reason = type(exc).__name__
             return False
         self.patches.clear()
-        self.packed = document
-        self.digested = ''
+        self.document_cache = document
+        self.digest_cache = ''
         return self.versioned.adopt(version, configuration)
 
     def adopt_patches(
@@ -100,12 +100,12 @@
         configuration = replay(self.current, packed_patches)
         if configuration is None:
             return False
-        found = digest_of_document(configuration) if digest else ''
-        if found != digest:
+        actual_digest = configuration_digest(configuration) if digest else ''
+        if actual_digest != digest:
             return False
         self.patches.extend(packed_patches)
-        self.packed = None
-        self.digested = found
+        self.document_cache = None
+        self.digest_cache = actual_digest
         return self.versioned.adopt(version, configuration)
 
     def patches_since(self, version: int) -> list[bytes] | None:
--- a/src/quetzaldyke/version/patching.py
+++ b/src/quetzaldyke/version/patching.py
@@ -32,7 +32,7 @@
 DIGEST_CHARS: Final = 16
 # Table that grows with the number of customers; the others stay small.
 LARGE_TABLE: Final = 'organisations'
-PATCH_FAULTS: Final = (
+PATCH_EXCEPTIONS: Final = (
     jsonpatch.JsonPatchException,
     jsonpointer.JsonPointerException,
     # The library raises plain errors for some operations whose value has
@@ -58,7 +58,7 @@
     touched = touched_organisations(operations)
     if touched is None:
         return patch_whole(configuration, operations)
-    return patch_part(configuration, operations, touched)
+    return patch_touched(configuration, operations, touched)
 
 
 def check_size(operations: Operations) -> Errors:
@@ -66,7 +66,7 @@
     errors = Errors()
     if len(operations) > MAX_OPERATIONS:
         errors.add('patch', f'more than {MAX_OPERATIONS} operations')
-    copies = sum(one.get('op') == 'copy' for one in operations)
+    copies = sum(operation.get('op') == 'copy' for operation in operations)
     if copies > MAX_COPIES:
         errors.add('patch', f'more than {MAX_COPIES} copy operations')
     return errors
@@ -78,11 +78,14 @@
     None when it reads or replaces the table itself or the whole document.
     """
     touched: set[str] = set()
-    for one in operations:
-        for pointer in (one.get('path', ''), one.get('from', '/pools')):
+    for operation in operations:
+        for pointer in (
+            operation.get('path', ''),
+            operation.get('from', '/pools'),
+        ):
             try:
                 section, *inner = jsonpointer.JsonPointer(pointer).parts
-            except PATCH_FAULTS:
+            except PATCH_EXCEPTIONS:
                 return None
             if section != LARGE_TABLE:
                 continue
@@ -100,9 +103,9 @@
     errors = Errors()
     try:
         patched = jsonpatch.JsonPatch(
-            [dict(one) for one in operations],
+            [dict(operation) for operation in operations],
         ).apply(document, in_place=True)
-    except PATCH_FAULTS as exc:
+    except PATCH_EXCEPTIONS as exc:
         errors.add('patch', f'{type(exc).__name__}: {exc}')
         return Err(errors)
     return check_document(patched)
@@ -116,7 +119,7 @@
     return patch_document(configuration.model_dump(mode='json'), operations)
 
 
-def patch_part(
+def patch_touched(
     configuration: Configuration,
     operations: Operations,
     touched: set[str],
@@ -133,9 +136,9 @@
     patched = patch_document(part.model_dump(mode='json'), operations)
     if isinstance(patched, Err):
         return patched
-    small = patched.ok_value
-    merged = merge_table(present, small.organisations, touched)
-    return Ok(small.model_copy(update={LARGE_TABLE: merged}))
+    patched_part = patched.ok_value
+    merged = merge_table(present, patched_part.organisations, touched)
+    return Ok(patched_part.model_copy(update={LARGE_TABLE: merged}))
 
 
 def merge_table(
@@ -174,7 +177,7 @@
 
 def pack_operations(operations: Operations) -> bytes:
     """Return the compressed form that the history keeps."""
-    plain = [dict(one) for one in operations]
+    plain = [dict(operation) for operation in operations]
     text = json.dumps(plain, separators=(',', ':'), sort_keys=True)
     return zlib.compress(text.encode())
 
@@ -187,14 +190,14 @@
     return operations
 
 
-def digest_of(base_version: int, operations: Operations) -> str:
+def patch_digest(base_version: int, operations: Operations) -> str:
     """Return a digest that tells two patches with one id apart."""
-    plain = [dict(one) for one in operations]
+    plain = [dict(operation) for operation in operations]
     text = json.dumps([base_version, plain], sort_keys=True)
     return hashlib.sha256(text.encode()).hexdigest()[:DIGEST_CHARS]
 
 
-def digest_of_document(configuration: Configuration) -> str:
+def configuration_digest(configuration: Configuration) -> str:
     """Return a digest of a configuration's content."""
     text = configuration.model_dump_json(exclude_defaults=True)
     return hashlib.sha256(text.encode()).hexdigest()[:DIGEST_CHARS]
--- a/src/quetzaldyke/version/placement.py
+++ b/src/quetzaldyke/version/placement.py
@@ -18,12 +18,12 @@
 
 # A shortage must last this long before an endpoint is moved: a restarted
 # engine is back within it, and a load takes as long as several restarts.
-SHORTAGE_HOLD_MS: Final = 30_000
+MIN_SHORTAGE_MS: Final = 30_000
 # An endpoint that was moved stays for this long, unless its own pool lacks
 # replicas.
 MIN_STAY_MS: Final = 300_000
 # A load that was not seen to end counts against the limit for this long.
-LOAD_LIMIT_MS: Final = 900_000
+LOAD_TIMEOUT_MS: Final = 900_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
 
     # Rises with each change of the giver; the fencing token of its orders.
     epoch: int = 0
-    giver: str = ''
+    leader: str = ''
     # Endpoints that serve another pool than their own.
     assigned: Mapping[str, str] = field(default_factory=dict)
     moved_ms: Mapping[str, int] = field(default_factory=dict)
@@ -60,7 +60,7 @@
         """Encode for storage."""
         row = [
             self.epoch,
-            self.giver,
+            self.leader,
             dict(self.assigned),
             dict(self.moved_ms),
             dict(self.loads),
@@ -90,16 +90,16 @@
     }
 
 
-def is_placed(endpoint: Endpoint, pool: Pool) -> bool:
+def serves_pool(endpoint: Endpoint, pool: Pool) -> bool:
     """Tell whether an endpoint serves what the pool asks for.
 
     A version or adapter that the pool leaves open is not compared.
     """
     wanted = (pool.model, pool.version, pool.adapter)
-    present = (endpoint.model, endpoint.version, endpoint.adapter)
+    loaded = (endpoint.model, endpoint.version, endpoint.adapter)
     return all(
-        not one or one == other
-        for one, other in zip(wanted, present, strict=True)
+        not expected or expected == actual
+        for expected, actual in zip(wanted, loaded, strict=True)
     )
 
 
@@ -110,26 +110,28 @@
 ) -> list[Endpoint]:
     """Return the endpoints that need an order, loading ones included."""
     return [
-        one
-        for one in endpoints
-        if one.up
-        and placement.pool_of(one) in pools
-        and not is_placed(one, pools[placement.pool_of(one)])
+        endpoint
+        for endpoint in endpoints
+        if endpoint.up
+        and placement.pool_of(endpoint) in pools
+        and not serves_pool(endpoint, pools[placement.pool_of(endpoint)])
     ]
 
 
-def surplus_of(
+def surplus_by_pool(
     placement: Placement,
     pools: Mapping[str, Pool],
     endpoints: Sequence[Endpoint],
 ) -> dict[str, int]:
     """Return by how many endpoints each pool exceeds its count."""
-    counts = Counter(placement.pool_of(one) for one in endpoints if one.up)
+    counts = Counter(
+        placement.pool_of(endpoint) for endpoint in endpoints if endpoint.up
+    )
     return {name: counts[name] - pool.replicas for name, pool in pools.items()}
 
 
 @dataclass(slots=True)
-class ShortageWatch:
+class ShortageTracker:
     """Since when each pool has lacked endpoints that another could give."""
 
     since_ms: dict[str, int] = field(default_factory=dict)
@@ -137,34 +139,34 @@
     def lasting(self, surplus: Mapping[str, int], now_ms: int) -> list[str]:
         """Return the pools whose shortage has lasted, the worst first.
 
-        >>> watch = ShortageWatch()
-        >>> watch.lasting({'a': -1, 'b': 2}, 0)
+        >>> shortages = ShortageTracker()
+        >>> shortages.lasting({'a': -1, 'b': 2}, 0)
         []
-        >>> watch.lasting({'a': -1, 'b': 2}, SHORTAGE_HOLD_MS)
+        >>> shortages.lasting({'a': -1, 'b': 2}, MIN_SHORTAGE_MS)
         ['a']
-        >>> watch.lasting({'a': 0, 'b': 1}, SHORTAGE_HOLD_MS)
+        >>> shortages.lasting({'a': 0, 'b': 1}, MIN_SHORTAGE_MS)
         []
         """
-        can_give = any(extra > 0 for extra in surplus.values())
+        has_donor = any(extra > 0 for extra in surplus.values())
         short = [
-            name for name, extra in surplus.items() if extra < 0 and can_give
+            name for name, extra in surplus.items() if extra < 0 and has_donor
         ]
         self.since_ms = {
             name: self.since_ms.get(name, now_ms) for name in short
         }
-        held = [
+        lasting_pools = [
             name
             for name in short
-            if now_ms - self.since_ms[name] >= SHORTAGE_HOLD_MS
+            if now_ms - self.since_ms[name] >= MIN_SHORTAGE_MS
         ]
-        return sorted(held, key=lambda name: (surplus[name], name))
+        return sorted(lasting_pools, key=lambda name: (surplus[name], name))
 
 
 def plan_move(
     placement: Placement,
     pools: Mapping[str, Pool],
     endpoints: Sequence[Endpoint],
-    watch: ShortageWatch,
+    shortages: ShortageTracker,
     now_ms: int,
 ) -> Move | None:
     """Return the next move, or None when nothing should move.
@@ -172,47 +174,49 @@
     Only a pool with more endpoints than its count gives one, so a move
     never makes a shortage and no move is undone by the next.
     """
-    surplus = surplus_of(placement, pools, endpoints)
-    for taker in watch.lasting(surplus, now_ms):
+    surplus = surplus_by_pool(placement, pools, endpoints)
+    for short_pool in shortages.lasting(surplus, now_ms):
         candidates = [
-            one
-            for one in endpoints
-            if one.up
-            and surplus.get(placement.pool_of(one), 0) > 0
-            and may_move(placement, one, taker, now_ms)
+            endpoint
+            for endpoint in endpoints
+            if endpoint.up
+            and surplus.get(placement.pool_of(endpoint), 0) > 0
+            and may_move(placement, endpoint, short_pool, now_ms)
         ]
         # An endpoint that returns to its own pool goes first.
-        own = [one for one in candidates if one.pool == taker]
-        for chosen in own or candidates:
-            return Move(chosen.instance, placement.pool_of(chosen), taker)
+        returning = [
+            endpoint for endpoint in candidates if endpoint.pool == short_pool
+        ]
+        for chosen in returning or candidates:
+            return Move(chosen.instance, placement.pool_of(chosen), short_pool)
     return None
 
 
 def may_move(
     placement: Placement,
     endpoint: Endpoint,
-    taker: str,
+    short_pool: str,
     now_ms: int,
 ) -> bool:
     """Tell whether an endpoint may move now."""
     if endpoint.instance in placement.loads:
         return False
-    if endpoint.pool == taker:
+    if endpoint.pool == short_pool:
         return True
     moved_ms = placement.moved_ms.get(endpoint.instance)
     return moved_ms is None or now_ms - moved_ms >= MIN_STAY_MS
 
 
-def with_move(placement: Placement, move: Move, home: str) -> Placement:
+def apply_move(placement: Placement, move: Move, own_pool: str) -> Placement:
     """Return the assignment after a move; `moved_ms` is set by the caller."""
     assigned = dict(placement.assigned)
-    if move.to_pool == home:
+    if move.to_pool == own_pool:
         assigned.pop(move.instance, None)
     else:
         assigned[move.instance] = move.to_pool
     return Placement(
         placement.epoch,
-        placement.giver,
+        placement.leader,
         assigned,
         placement.moved_ms,
         placement.loads,
@@ -227,15 +231,15 @@
     now_ms: int,
 ) -> set[str]:
     """Return the loads that no longer use the weight store."""
-    by_name = {one.instance: one for one in endpoints}
+    by_name = {endpoint.instance: endpoint for endpoint in endpoints}
     ended = set(refused)
     for name, started_ms in placement.loads.items():
         endpoint = by_name.get(name)
-        if now_ms - started_ms >= LOAD_LIMIT_MS:
+        if now_ms - started_ms >= LOAD_TIMEOUT_MS:
             ended.add(name)
         if endpoint is None:
             continue
         pool = pools.get(placement.pool_of(endpoint))
-        if pool is None or (endpoint.up and is_placed(endpoint, pool)):
+        if pool is None or (endpoint.up and serves_pool(endpoint, pool)):
             ended.add(name)
     return ended & placement.loads.keys()
--- a/src/quetzaldyke/version/order_giver.py
+++ b/src/quetzaldyke/version/placement_controller.py
@@ -26,34 +26,34 @@
 from quetzaldyke.process.fleet import Fleet
 from quetzaldyke.process.logs import LogEvent
 from quetzaldyke.version.configuration import Pool
+from quetzaldyke.version.endpoint_reports import EndpointReports
 from quetzaldyke.version.holder import ConfigHolder
 from quetzaldyke.version.order_calls import OrderCalls, load_order
 from quetzaldyke.version.placement import (
     Move,
     Placement,
-    ShortageWatch,
+    ShortageTracker,
+    apply_move,
     ended_loads,
     managed_pools,
     misplaced,
     plan_move,
-    with_move,
 )
-from quetzaldyke.version.seen import SeenEndpoints
 
 PLACEMENT_KEY: Final = 'placement'
 RANK_KEY: Final = 'placement'
 RECONCILE_INTERVAL_S: Final = 2.0
 # Two entries with different instance lists may both rank first. The one
 # that lost the epoch waits, so that they don't take it from each other.
-RECLAIM_MS: Final = 10_000
+RECLAIM_DELAY_MS: Final = 10_000
 # A load of an earlier giver is ordered again after this time.
-INHERITED_MS: Final = 120_000
+INHERITED_LOAD_TIMEOUT_MS: Final = 120_000
 
-Declined = Literal['epoch', 'full', 'same']
+DeclineReason = Literal['epoch', 'full', 'same']
 
 
 @dataclass(slots=True)
-class OrderGiver:
+class PlacementController:
     """State of one entry's part in giving orders."""
 
     store: KeyValueStore
@@ -61,24 +61,24 @@
     fleet: Fleet
     log_event: LogEvent
     group: TaskGroup
-    seen: SeenEndpoints
+    reports: EndpointReports
     calls: OrderCalls
     read_wall_ms: Callable[[], int] = wall_clock_ms
     # The epoch under which this entry gives orders; 0 when it does not.
     epoch: int = 0
-    lost_ms: int = -RECLAIM_MS
-    watch: ShortageWatch = field(default_factory=ShortageWatch)
+    epoch_lost_ms: int = -RECLAIM_DELAY_MS
+    shortages: ShortageTracker = field(default_factory=ShortageTracker)
     # Endpoints with an order under way, and those that refused theirs.
-    ordering: set[str] = field(default_factory=set)
+    in_progress: set[str] = field(default_factory=set)
     refused: set[str] = field(default_factory=set)
-    refusals: Counter[str] = field(default_factory=Counter)
+    refusal_counts: Counter[str] = field(default_factory=Counter)
     # Endpoints that were ordered under the present epoch.
-    ordered: set[str] = field(default_factory=set)
+    ordered_in_epoch: set[str] = field(default_factory=set)
 
     def subscribe(self) -> None:
         """Take part in the fleet's messages."""
         self.calls.subscribe()
-        self.seen.subscribe()
+        self.reports.subscribe()
 
     def ranks_first(self) -> bool:
         """Tell whether this entry should give orders."""
@@ -87,12 +87,12 @@
             == self.fleet.own.instance
         )
 
-    def stand_down(self) -> None:
+    def step_down(self) -> None:
         """Stop giving orders after another entry took the epoch."""
         if self.epoch:
             self.log_event('placement_lost', epoch=self.epoch)
         self.epoch = 0
-        self.lost_ms = self.read_wall_ms()
+        self.epoch_lost_ms = self.read_wall_ms()
 
     async def reconcile(self) -> None:
         """Compare the desired with the reported state and give orders."""
@@ -101,71 +101,73 @@
             return
         if not managed_pools(self.holder.current):
             return
-        if not self.epoch and not await self.claim():
+        if not self.epoch and not await self.claim_epoch():
             return
-        await self.seen.visit(managed_pools(self.holder.current))
-        updated = await self.update()
+        await self.reports.poll(managed_pools(self.holder.current))
+        updated = await self.store_plan()
         if isinstance(updated, Err):
             return
-        self.order_misplaced(updated.ok_value)
+        self.start_load_orders(updated.ok_value)
 
-    async def claim(self) -> bool:
+    async def claim_epoch(self) -> bool:
         """Take the next epoch."""
-        if self.read_wall_ms() - self.lost_ms < RECLAIM_MS:
+        if self.read_wall_ms() - self.epoch_lost_ms < RECLAIM_DELAY_MS:
             return False
         own = self.fleet.own.instance
-        claimed = await self.change(
-            lambda now: replace(now, epoch=now.epoch + 1, giver=own),
+        claimed = await self.update_placement(
+            lambda now: replace(now, epoch=now.epoch + 1, leader=own),
         )
         if isinstance(claimed, Err):
             return False
         self.epoch = claimed.ok_value.epoch
-        self.watch = ShortageWatch()
-        self.ordered.clear()
+        self.shortages = ShortageTracker()
+        self.ordered_in_epoch.clear()
         self.log_event('placement_claimed', epoch=self.epoch)
         return True
 
-    async def change(
+    async def update_placement(
         self,
-        decide: Callable[[Placement], Placement | Refused[Declined]],
-    ) -> Result[Placement, KvError | Refused[Declined]]:
+        decide: Callable[[Placement], Placement | Refused[DeclineReason]],
+    ) -> Result[Placement, KvError | Refused[DeclineReason]]:
         """Change the stored placement."""
 
-        def apply(payload: bytes) -> bytes | Refused[Declined]:
+        def apply(payload: bytes) -> bytes | Refused[DeclineReason]:
             decided = decide(Placement.unpack(payload))
             return decided if isinstance(decided, Refused) else decided.pack()
 
         outcome = await swap(self.store, PLACEMENT_KEY, apply)
         return outcome.map(lambda stored: Placement.unpack(stored.payload))
 
-    async def change_as_giver(
+    async def update_as_leader(
         self,
-        decide: Callable[[Placement], Placement | Refused[Declined]],
-    ) -> Result[Placement, KvError | Refused[Declined]]:
+        decide: Callable[[Placement], Placement | Refused[DeclineReason]],
+    ) -> Result[Placement, KvError | Refused[DeclineReason]]:
         """Change the stored placement unless another took the epoch."""
         epoch = self.epoch
 
-        def guarded(now: Placement) -> Placement | Refused[Declined]:
+        def guarded(now: Placement) -> Placement | Refused[DeclineReason]:
             if not epoch or now.epoch != epoch:
                 return Refused('epoch')
             return decide(now)
 
-        outcome = await self.change(guarded)
+        outcome = await self.update_placement(guarded)
         if isinstance(outcome, Err) and outcome.err_value == Refused('epoch'):
-            self.stand_down()
+            self.step_down()
         return outcome
 
-    async def update(self) -> Result[Placement, KvError | Refused[Declined]]:
+    async def store_plan(
+        self,
+    ) -> Result[Placement, KvError | Refused[DeclineReason]]:
         """Store ended loads and the next move; read the present value."""
         now_ms = self.read_wall_ms()
         pools = managed_pools(self.holder.current)
-        endpoints = self.seen.endpoints()
+        endpoints = self.reports.endpoints()
         # Endpoints that were never looked at would pass for missing ones.
-        knows_all = self.seen.knows_all(pools)
+        all_polled = self.reports.all_polled(pools)
         unchanged: list[Placement] = []
         moves: list[Move] = []
 
-        def decide(now: Placement) -> Placement | Refused[Declined]:
+        def decide(now: Placement) -> Placement | Refused[DeclineReason]:
             moves.clear()
             ended = ended_loads(now, pools, endpoints, self.refused, now_ms)
             loads = {
@@ -174,19 +176,19 @@
                 if name not in ended
             }
             updated = replace(now, loads=loads)
-            move = plan_move(updated, pools, endpoints, self.watch, now_ms)
-            if move is not None and knows_all:
+            move = plan_move(updated, pools, endpoints, self.shortages, now_ms)
+            if move is not None and all_polled:
                 moves.append(move)
-                home = self.seen.home_of(move.instance)
+                own_pool = self.reports.own_pool_of(move.instance)
                 moved = {**now.moved_ms, move.instance: now_ms}
-                updated = with_move(updated, move, home)
+                updated = apply_move(updated, move, own_pool)
                 updated = replace(updated, moved_ms=moved)
             if updated == now:
                 unchanged.append(now)
                 return Refused('same')
             return updated
 
-        outcome = await self.change_as_giver(decide)
+        outcome = await self.update_as_leader(decide)
         if isinstance(outcome, Err):
             same = outcome.err_value == Refused('same')
             return Ok(unchanged[-1]) if same else outcome
@@ -200,63 +202,72 @@
             )
         return outcome
 
-    def order_misplaced(self, placement: Placement) -> None:
+    def start_load_orders(self, placement: Placement) -> None:
         """Start orders for endpoints that don't serve what they should."""
         configuration = self.holder.current
         pools = managed_pools(configuration)
         waiting = [
-            one
-            for one in misplaced(placement, pools, self.seen.endpoints())
-            if one.instance not in self.ordering
+            endpoint
+            for endpoint in misplaced(
+                placement, pools, self.reports.endpoints()
+            )
+            if endpoint.instance not in self.in_progress
         ]
         repeated = [
-            one
-            for one in waiting
-            if one.instance in placement.loads
-            and not self.is_inherited(one.instance, placement)
+            endpoint
+            for endpoint in waiting
+            if endpoint.instance in placement.loads
+            and not self.is_inherited_load(endpoint.instance, placement)
         ]
         # Endpoints that refuse every order go last, or they would take the
         # places of the others again and again.
         fresh = sorted(
-            (one for one in waiting if one.instance not in placement.loads),
-            key=lambda one: self.refusals[one.instance],
+            (
+                endpoint
+                for endpoint in waiting
+                if endpoint.instance not in placement.loads
+            ),
+            key=lambda endpoint: self.refusal_counts[endpoint.instance],
         )
         limit = configuration.weight_store.concurrent_loads
-        room = max(limit - len(placement.loads), 0)
-        for endpoint in (*repeated, *fresh[:room]):
+        free_slots = max(limit - len(placement.loads), 0)
+        for endpoint in (*repeated, *fresh[:free_slots]):
             pool = pools[placement.pool_of(endpoint)]
-            self.ordering.add(endpoint.instance)
-            self.group.start_soon(self.order, endpoint.instance, pool)
+            self.in_progress.add(endpoint.instance)
+            self.group.start_soon(self.order_load, endpoint.instance, pool)
 
-    def is_inherited(self, name: str, placement: Placement) -> bool:
+    def is_inherited_load(self, name: str, placement: Placement) -> bool:
         """Tell whether an earlier giver's load may still be running.
 
         Ordering it again at once would load the weights twice.
         """
         age_ms = self.read_wall_ms() - placement.loads[name]
-        return name not in self.ordered and age_ms < INHERITED_MS
+        return (
+            name not in self.ordered_in_epoch
+            and age_ms < INHERITED_LOAD_TIMEOUT_MS
+        )
 
-    async def order(self, instance: str, pool: Pool) -> None:
+    async def order_load(self, instance: str, pool: Pool) -> None:
         """Give one load order, over a connection for it if needed."""
         try:
             async with anyio.create_task_group() as group:
-                session = await self.seen.session_to(instance, group)
+                session = await self.reports.session_to(instance, group)
                 if session is not None:
-                    await self.give(session, pool)
+                    await self.send_load_order(session, pool)
                 group.cancel_scope.cancel()
         finally:
-            self.ordering.discard(instance)
+            self.in_progress.discard(instance)
 
-    async def give(self, session: PeerSession, pool: Pool) -> None:
+    async def send_load_order(self, session: PeerSession, pool: Pool) -> None:
         """Ask for a nonce, check the epoch, order, and await the outcome."""
         instance = session.remote.instance
-        order_id = self.calls.new_id()
+        order_id = self.calls.new_order_id()
         try:
-            nonce = await self.calls.nonce(session, order_id)
+            nonce = await self.calls.request_nonce(session, order_id)
             token = self.epoch
-            if not nonce or not await self.may_load(instance):
+            if not nonce or not await self.reserve_load(instance):
                 return
-            self.ordered.add(instance)
+            self.ordered_in_epoch.add(instance)
             self.log_event(
                 'order_given',
                 order_id=order_id,
@@ -265,16 +276,18 @@
                 fencing_token=token,
             )
             order = load_order(order_id, nonce, token, pool)
-            self.note_result(instance, await self.calls.send(session, order))
+            self.handle_result(
+                instance, await self.calls.send_order(session, order)
+            )
         finally:
             self.calls.forget(order_id)
 
-    def note_result(self, instance: str, outcome: OrderResult | None) -> None:
+    def handle_result(self, instance: str, outcome: OrderResult | None) -> None:
         """Free the place of a load that was refused."""
         if outcome is None or outcome.accepted:
             return
         self.refused.add(instance)
-        self.refusals[instance] += 1
+        self.refusal_counts[instance] += 1
         self.log_event(
             'order_refused',
             order_id=outcome.order_id,
@@ -282,7 +295,7 @@
             reason=outcome.reason,
         )
 
-    async def may_load(self, instance: str) -> bool:
+    async def reserve_load(self, instance: str) -> bool:
         """Take a place among the loads; False without one or the epoch.
 
         This reads the stored epoch after the nonce was made.
@@ -290,10 +303,10 @@
         limit = self.holder.current.weight_store.concurrent_loads
         now_ms = self.read_wall_ms()
 
-        def decide(now: Placement) -> Placement | Refused[Declined]:
+        def decide(now: Placement) -> Placement | Refused[DeclineReason]:
             if instance not in now.loads and len(now.loads) >= limit:
                 return Refused('full')
             loads = {instance: now_ms, **now.loads}
             return replace(now, loads=loads)
 
-        return (await self.change_as_giver(decide)).is_ok()
+        return (await self.update_as_leader(decide)).is_ok()
--- a/src/quetzaldyke/version/store.py
+++ b/src/quetzaldyke/version/store.py
@@ -24,23 +24,23 @@
     pack_document,
     unpack_document,
 )
-from quetzaldyke.version.latest import write_latest
 from quetzaldyke.version.patching import (
     Operations,
     apply_patch,
-    digest_of,
-    digest_of_document,
+    configuration_digest,
     pack_operations,
+    patch_digest,
     unpack_operations,
 )
+from quetzaldyke.version.version_hint import write_version_hint
 
 CONFIG_KEY: Final = 'config'
 KEPT_PATCHES: Final = 64
 # Room for the document within the limit of a value; the operations of the
 # oldest patches are dropped beyond it, their ids stay.
 KEPT_OPERATION_BYTES: Final = 131_072
-MAX_SETTLE_TRIES: Final = 5
-SETTLE_PAUSE_S: Final = 0.05
+MAX_SUBMIT_TRIES: Final = 5
+SUBMIT_RETRY_PAUSE_S: Final = 0.05
 
 PatchErrorKind = Literal[
     'stale',  # made against another version
@@ -121,11 +121,11 @@
         oldest = self.version - len(self.patches)
         return base_version >= oldest
 
-    def since(self, version: int) -> list[AppliedPatch] | None:
+    def patches_since(self, version: int) -> list[AppliedPatch] | None:
         """Return the patches after a version; None if any is not kept."""
-        later = [one for one in self.patches if one.version > version]
+        later = [patch for patch in self.patches if patch.version > version]
         complete = len(later) == self.version - version
-        if not complete or any(not one.packed_operations for one in later):
+        if not complete or any(not patch.packed_operations for patch in later):
             return None
         return later
 
@@ -161,7 +161,7 @@
     @property
     def digest(self) -> str:
         """Return the digest of the content."""
-        return digest_of(self.base_version, self.operations)
+        return patch_digest(self.base_version, self.operations)
 
 
 async def read_head(store: KeyValueStore) -> Result[Head, KvError]:
@@ -176,35 +176,35 @@
     patch_id: str,
     operations: Operations,
     read_wall_ms: Callable[[], int] = wall_clock_ms,
-    known: tuple[int, Configuration] = (0, EMPTY),
+    decoded: tuple[int, Configuration] = (0, EMPTY),
 ) -> Result[Accepted, PatchError]:
     """Accept a patch against a version, once for each patch id.
 
-    `known` is a version with its configuration, which then need not be
+    `decoded` is a version with its configuration, which then need not be
     decoded again; with 5,600 organisations that takes 18 ms.
 
     The history settles a lost answer: when it reaches back to the base
     version, the patch is either in it or can no longer be accepted.
     """
     patch = Patch(patch_id, base_version, operations)
-    announced = await write_latest(store, base_version + 1)
+    announced = await write_version_hint(store, base_version + 1)
     if isinstance(announced, Err):
         # Nothing was written to `config` yet, so the patch is not in.
         return Err(PatchError('unavailable', announced.err_value.detail))
     outcome: Result[Accepted, PatchError] = Err(PatchError('unavailable'))
     uncertain = False
-    for _ in range(MAX_SETTLE_TRIES):
-        outcome = await submit_once(store, patch, read_wall_ms, known)
+    for _ in range(MAX_SUBMIT_TRIES):
+        outcome = await submit_once(store, patch, read_wall_ms, decoded)
         if isinstance(outcome, Ok) or outcome.err_value.kind != 'unknown':
             break
         uncertain = True
-        await anyio.sleep(SETTLE_PAUSE_S)
+        await anyio.sleep(SUBMIT_RETRY_PAUSE_S)
     if isinstance(outcome, Err) and uncertain:
-        return Err(weaken(outcome.err_value))
+        return Err(mark_uncertain(outcome.err_value))
     return outcome
 
 
-def weaken(error: PatchError) -> PatchError:
+def mark_uncertain(error: PatchError) -> PatchError:
     """Return what may be said after an earlier try may have been applied."""
     if error.kind == 'unavailable':
         return replace(error, kind='unknown')
@@ -215,16 +215,16 @@
     store: KeyValueStore,
     patch: Patch,
     read_wall_ms: Callable[[], int],
-    known: tuple[int, Configuration],
+    decoded: tuple[int, Configuration],
 ) -> Result[Accepted, PatchError]:
     """Try one swap; its answer may be `unknown`."""
 
     def change(payload: bytes) -> bytes | Refused[Accepted | PatchError]:
-        return decide(Head.unpack(payload), patch, read_wall_ms(), known)
+        return decide(Head.unpack(payload), patch, read_wall_ms(), decoded)
 
     outcome = await swap(store, CONFIG_KEY, change)
     if isinstance(outcome, Ok):
-        return accepted_in(Head.unpack(outcome.ok_value.payload), patch)
+        return accepted_answer(Head.unpack(outcome.ok_value.payload), patch)
     match outcome.err_value:
         case Refused(Accepted() as accepted):
             return Ok(accepted)
@@ -238,7 +238,7 @@
             return Err(PatchError('unavailable', str(failure)))
 
 
-def accepted_in(head: Head, patch: Patch) -> Result[Accepted, PatchError]:
+def accepted_answer(head: Head, patch: Patch) -> Result[Accepted, PatchError]:
     """Return the answer for a patch that was written."""
     found = head.find(patch.patch_id)
     if found is None:
@@ -254,9 +254,9 @@
     decoded: tuple[int, Configuration] = (0, EMPTY),
 ) -> bytes | Refused[Accepted | PatchError]:
     """Return the new payload, or why the patch is not applied now."""
-    known = head.find(patch.patch_id)
-    if known is not None:
-        return Refused(first_answer(head, known, patch))
+    earlier = head.find(patch.patch_id)
+    if earlier is not None:
+        return Refused(answer_resend(head, earlier, patch))
     if patch.base_version != head.version:
         covered = head.covers(patch.base_version)
         kind: PatchErrorKind = 'stale' if covered else 'too_old'
@@ -272,15 +272,15 @@
     return next_head(head, patch, outcome.ok_value, now_ms).pack()
 
 
-def first_answer(
+def answer_resend(
     head: Head,
-    known: AppliedPatch,
+    earlier: AppliedPatch,
     patch: Patch,
 ) -> Accepted | PatchError:
     """Return the answer that the first send of a patch id had."""
-    if known.digest != patch.digest:
-        return PatchError('reused', f'accepted as version {known.version}')
-    return Accepted(known.version, head, repeated=True)
+    if earlier.digest != patch.digest:
+        return PatchError('reused', f'accepted as version {earlier.version}')
+    return Accepted(earlier.version, head, repeated=True)
 
 
 def next_head(
@@ -302,12 +302,14 @@
     return Head(
         version,
         pack_document(configuration),
-        trim(kept),
-        digest_of_document(configuration),
+        drop_old_operations(kept),
+        configuration_digest(configuration),
     )
 
 
-def trim(patches: tuple[AppliedPatch, ...]) -> tuple[AppliedPatch, ...]:
+def drop_old_operations(
+    patches: tuple[AppliedPatch, ...],
+) -> tuple[AppliedPatch, ...]:
     """Drop the operations of the oldest patches beyond the size limit."""
     room = KEPT_OPERATION_BYTES
     kept: list[AppliedPatch] = []
--- a/src/quetzaldyke/version/latest.py
+++ b/src/quetzaldyke/version/version_hint.py
@@ -24,38 +24,38 @@
     swap,
 )
 
-LATEST_KEY: Final = 'latest_config'
+VERSION_HINT_KEY: Final = 'latest_config'
 # Reads of `config` for one change of the hint. A write that was under way
 # when the hint was read is seen by the second one, 4 s later.
-READS_FOR_CHANGE: Final = 3
+READS_PER_HINT_CHANGE: Final = 3
 MAX_TRIES: Final = 3
 # `config` is read all the same once in so many polls (a minute), in case it
 # was written by other means.
 FULL_READ_POLLS: Final = 15
 
 
-def version_in(payload: bytes) -> int:
+def parse_version(payload: bytes) -> int:
     """Return the version in the value.
 
-    >>> version_in(b''), version_in(b'12')
+    >>> parse_version(b''), parse_version(b'12')
     (0, 12)
     """
     return int(payload or b'0')
 
 
-async def write_latest(
+async def write_version_hint(
     store: KeyValueStore,
     version: int,
 ) -> Result[Stored, KvError]:
     """Say that a version may exist soon; always changes the revision."""
 
     def change(payload: bytes) -> bytes:
-        return str(max(version, version_in(payload))).encode()
+        return str(max(version, parse_version(payload))).encode()
 
     for _ in range(MAX_TRIES):
         outcome: Result[Stored, KvError | Refused[None]] = await swap(
             store,
-            LATEST_KEY,
+            VERSION_HINT_KEY,
             change,
         )
         written = outcome.map_err(as_kv_error)
@@ -72,7 +72,7 @@
 
 
 @dataclass(slots=True)
-class LatestReader:
+class VersionHintReader:
     """Decides when `config` has to be read."""
 
     seen_revision: int = 0
@@ -81,7 +81,7 @@
 
     async def should_read(self, store: KeyValueStore, version: int) -> bool:
         """Tell whether a version above `version` may exist."""
-        answer = await read(store, LATEST_KEY)
+        answer = await read(store, VERSION_HINT_KEY)
         if isinstance(answer, Err):
             return False
         stored = answer.ok_value
@@ -90,8 +90,8 @@
             return True
         if stored.revision != self.seen_revision:
             self.seen_revision = stored.revision
-            self.reads_left = READS_FOR_CHANGE
-        if version_in(stored.payload) <= version or not self.reads_left:
+            self.reads_left = READS_PER_HINT_CHANGE
+        if parse_version(stored.payload) <= version or not self.reads_left:
             return False
         self.reads_left -= 1
         return True
--- a/tests/test_patches.py
+++ b/tests/test_patches.py
@@ -34,7 +34,6 @@
     unpack_document,
 )
 from quetzaldyke.version.holder import ConfigHolder
-from quetzaldyke.version.latest import LATEST_KEY, version_in
 from quetzaldyke.version.patching import (
     Operations,
     apply_patch,
@@ -52,6 +51,7 @@
     read_head,
     submit_patch,
 )
+from quetzaldyke.version.version_hint import VERSION_HINT_KEY, parse_version
 
 FAULTS = ('fine', 'fine', 'lost', 'late', 'dropped', 'down')
 NOT_IN = frozenset(('stale', 'invalid', 'reused', 'too_large'))
@@ -119,8 +119,8 @@
         head = Head.unpack(Envelope.unpack(raw).payload)
         last = self.heads[-1].version if self.heads else 0
         assert head.version == last + 1
-        hint = Envelope.unpack(self.records[LATEST_KEY].value).payload
-        assert version_in(hint) >= head.version
+        hint = Envelope.unpack(self.records[VERSION_HINT_KEY].value).payload
+        assert parse_version(hint) >= head.version
         self.heads.append(head)
 
     def accepted_ids(self) -> list[str]:
@@ -220,7 +220,7 @@
 
         with (
             mock.patch.object(kv, 'RETRY_PAUSE_S', 0),
-            mock.patch.object(store_module, 'SETTLE_PAUSE_S', 0),
+            mock.patch.object(store_module, 'SUBMIT_RETRY_PAUSE_S', 0),
         ):
             anyio.run(together)
 
@@ -348,8 +348,8 @@
     assert len(kept) == 4
     assert not all(kept)
     assert kept[-1]
-    assert head.since(0) is None
-    assert head.since(3) is not None
+    assert head.patches_since(0) is None
+    assert head.patches_since(3) is not None
 
 
 @pytest.mark.parametrize(
@@ -371,7 +371,7 @@
     faulty = FaultyStore(faults=list(reversed(faults)))
     with (
         mock.patch.object(kv, 'RETRY_PAUSE_S', 0),
-        mock.patch.object(store_module, 'SETTLE_PAUSE_S', 0),
+        mock.patch.object(store_module, 'SUBMIT_RETRY_PAUSE_S', 0),
     ):
         answer = submit(faulty, 0, 'p1', set_tries(3))
     assert isinstance(answer, PatchError)
@@ -405,7 +405,7 @@
 def test_lost_answer_is_settled_by_the_history() -> None:
     """Guards against `unknown` when the write ids were pushed out."""
     busy = BusyStore(faults=['lost', 'fine', 'fine', 'fine'])
-    with mock.patch.object(store_module, 'SETTLE_PAUSE_S', 0):
+    with mock.patch.object(store_module, 'SUBMIT_RETRY_PAUSE_S', 0):
         answer = submit(busy, 0, 'p1', set_tries(3))
     assert isinstance(answer, Accepted)
     assert (answer.version, answer.head.version) == (1, 41)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -25,27 +25,27 @@
 from quetzaldyke.process.fleet import Fleet, Instance, SidecarLink
 from quetzaldyke.process.logs import make_log_event
 from quetzaldyke.version.configuration import Configuration, pack_document
+from quetzaldyke.version.endpoint_reports import EndpointReports
 from quetzaldyke.version.holder import ConfigHolder
 from quetzaldyke.version.order_calls import OrderCalls
-from quetzaldyke.version.order_giver import (
-    INHERITED_MS,
-    PLACEMENT_KEY,
-    OrderGiver,
-)
 from quetzaldyke.version.placement import (
-    LOAD_LIMIT_MS,
+    LOAD_TIMEOUT_MS,
+    MIN_SHORTAGE_MS,
     MIN_STAY_MS,
-    SHORTAGE_HOLD_MS,
     Endpoint,
     Placement,
-    ShortageWatch,
+    ShortageTracker,
+    apply_move,
     ended_loads,
     managed_pools,
     plan_move,
-    surplus_of,
-    with_move,
+    surplus_by_pool,
+)
+from quetzaldyke.version.placement_controller import (
+    INHERITED_LOAD_TIMEOUT_MS,
+    PLACEMENT_KEY,
+    PlacementController,
 )
-from quetzaldyke.version.seen import SeenEndpoints
 
 LIMIT_S = 20.0
 
@@ -70,13 +70,13 @@
     name: str
     pool: str
     group: TaskGroup
-    world: World
+    simulation: Simulation
     model: str = ''
     gate: FencingGate = field(default_factory=lambda: FencingGate(Clock()))
     refusals: list[str] = field(default_factory=list)
     loaded: list[int] = field(default_factory=list)
     # Orders are kept here instead of delivered while this is a list.
-    held: list[tuple[OrderGiver, messages.Order]] | None = None
+    held_orders: list[tuple[PlacementController, messages.Order]] | None = None
 
     def report(self) -> messages.Report:
         """Return the present state."""
@@ -85,18 +85,24 @@
             *(self.model, '', '', 0, [], 'a'),
         )
 
-    async def receive(self, giver: OrderGiver, message: Any) -> None:
+    async def receive(
+        self, controller: PlacementController, message: Any
+    ) -> None:
         """Answer a giver."""
         match message:
             case messages.OrderPrepare(order_id=order_id):
                 nonce = self.gate.prepare(order_id)
-                await self.reply(giver, messages.OrderNonce(order_id, nonce))
-            case messages.Order() if self.held is not None:
-                self.held.append((giver, message))
+                await self.reply(
+                    controller, messages.OrderNonce(order_id, nonce)
+                )
+            case messages.Order() if self.held_orders is not None:
+                self.held_orders.append((controller, message))
             case messages.Order():
-                await self.carry_out(giver, message)
+                await self.execute(controller, message)
 
-    async def carry_out(self, giver: OrderGiver, order: messages.Order) -> None:
+    async def execute(
+        self, controller: PlacementController, order: messages.Order
+    ) -> None:
         """Load a model if the gate lets the order through."""
         passed = self.gate.admit(
             order.order_id, order.nonce, order.fencing_token
@@ -104,46 +110,53 @@
         if isinstance(passed, Err):
             self.refusals.append(passed.err_value)
         else:
-            await self.world.load()
+            await self.simulation.load()
             self.loaded.append(order.fencing_token)
             self.model = order.model
-            await self.world.tell(self)
+            await self.simulation.report_state(self)
         refusal = '' if passed.is_ok() else 'refused'
         await self.reply(
-            giver, messages.OrderResult(order.order_id, not refusal, refusal)
+            controller,
+            messages.OrderResult(order.order_id, not refusal, refusal),
         )
 
-    async def reply(self, giver: OrderGiver, message: messages.Message) -> None:
+    async def reply(
+        self, controller: PlacementController, message: messages.Message
+    ) -> None:
         """Send an answer to a giver."""
-        session = giver.fleet.links[self.name].session
-        await giver.calls.on_answer(session, message)
+        session = controller.fleet.links[self.name].session
+        await controller.calls.on_reply(session, message)
 
 
 class EngineSession:
     """Session of one giver to one engine."""
 
-    def __init__(self, engine: Engine, world: World, entry: str) -> None:
+    def __init__(
+        self, engine: Engine, simulation: Simulation, entry: str
+    ) -> None:
         """Keep both ends."""
         self.engine = engine
-        self.world = world
+        self.simulation = simulation
         self.entry = entry
         self.closed = False
         self.remote = messages.Hello(1, 'sidecar', engine.name, 'a', 'i')
 
     def send(self, message: messages.Message) -> None:
         """Hand a message to the engine."""
-        giver = self.world.givers[self.entry]
-        self.world.group.start_soon(self.engine.receive, giver, message)
+        controller = self.simulation.controllers[self.entry]
+        self.simulation.group.start_soon(
+            self.engine.receive, controller, message
+        )
 
 
 @dataclass
-class World:
+class Simulation:
     """Engines, givers and the weight store between them."""
 
     group: TaskGroup
     store: MemoryStore = field(default_factory=MemoryStore)
     engines: dict[str, Engine] = field(default_factory=dict)
-    givers: dict[str, OrderGiver] = field(default_factory=dict)
+    controllers: dict[str, PlacementController] = field(default_factory=dict)
     now_ms: int = 1_000_000
     loading: int = 0
     most_loading: int = 0
@@ -156,41 +169,41 @@
         await self.proceed.wait()
         self.loading -= 1
 
-    async def tell(self, engine: Engine) -> None:
+    async def report_state(self, engine: Engine) -> None:
         """Report an engine's state to all givers."""
-        for giver in self.givers.values():
-            link = giver.fleet.links.get(engine.name)
+        for controller in self.controllers.values():
+            link = controller.fleet.links.get(engine.name)
             if link is None:
                 continue
             session = link.session
-            await giver.seen.on_report(session, engine.report())
+            await controller.reports.on_report(session, engine.report())
 
-    async def add_giver(
+    async def add_controller(
         self, name: str, configuration: Configuration, store: Any = None
-    ) -> OrderGiver:
+    ) -> PlacementController:
         """Add an entry that is connected to all engines."""
         fleet = Fleet(Instance(name, 'entry', 'a', ''), 20)
         holder = ConfigHolder()
         holder.adopt(1, pack_document(configuration))
-        giver = OrderGiver(
+        controller = PlacementController(
             store or self.store,
             holder,
             fleet,
             make_log_event(name, HybridClock(name))[0],
             self.group,
-            SeenEndpoints(fleet, no_reach),
+            EndpointReports(fleet, never_connect),
             OrderCalls(fleet),
             lambda: self.now_ms,
         )
-        self.givers[name] = giver
+        self.controllers[name] = controller
         for engine in self.engines.values():
             row = Instance(engine.name, 'sidecar', 'a', '', engine.pool)
             session = cast(PeerSession, EngineSession(engine, self, name))
             fleet.links[engine.name] = SidecarLink(
                 row, session, CallTable(session)
             )
-            await giver.seen.on_report(session, engine.report())
-        return giver
+            await controller.reports.on_report(session, engine.report())
+        return controller
 
     async def settle(self) -> None:
         """Let all tasks run until they wait."""
@@ -204,22 +217,24 @@
         return Placement.unpack(Envelope.unpack(record.value).payload)
 
 
-async def no_reach(instance: Instance) -> None:
+async def never_connect(instance: Instance) -> None:
     """Reach nothing."""
 
 
-def run_world(
-    engines: dict[str, str], scenario: Callable[[World], Awaitable[None]]
+def run_simulation(
+    engines: dict[str, str], scenario: Callable[[Simulation], Awaitable[None]]
 ) -> None:
     """Run a scenario with engines by name and pool."""
 
     async def main() -> None:
         with anyio.fail_after(LIMIT_S):
             async with anyio.create_task_group() as group:
-                world = World(group)
+                simulation = Simulation(group)
                 for name, pool in engines.items():
-                    world.engines[name] = Engine(name, pool, group, world)
-                await scenario(world)
+                    simulation.engines[name] = Engine(
+                        name, pool, group, simulation
+                    )
+                await scenario(simulation)
                 group.cancel_scope.cancel()
 
     anyio.run(main)
@@ -229,48 +244,50 @@
 def test_loads_are_bounded_and_all_are_done(limit: int) -> None:
     """Guards against more loads at once than the weight store allows."""
 
-    async def scenario(world: World) -> None:
-        giver = await world.add_giver('e1', two_pools(8, 0, limit))
+    async def scenario(simulation: Simulation) -> None:
+        controller = await simulation.add_controller(
+            'e1', two_pools(8, 0, limit)
+        )
         # Rounds that come before the first orders have taken their places.
         for _ in range(4):
-            await giver.reconcile()
+            await controller.reconcile()
         for _ in range(5):
-            await world.settle()
-            await giver.reconcile()
-        assert world.loading == limit
+            await simulation.settle()
+            await controller.reconcile()
+        assert simulation.loading == limit
         for _ in range(20):
-            world.proceed.set()
-            await world.settle()
-            world.proceed = anyio.Event()
-            await giver.reconcile()
-            await world.settle()
-        assert world.most_loading == limit
-        assert {one.model for one in world.engines.values()} == {'ma'}
-        assert (await world.stored()).loads == {}
+            simulation.proceed.set()
+            await simulation.settle()
+            simulation.proceed = anyio.Event()
+            await controller.reconcile()
+            await simulation.settle()
+        assert simulation.most_loading == limit
+        assert {one.model for one in simulation.engines.values()} == {'ma'}
+        assert (await simulation.stored()).loads == {}
 
-    run_world({f's{number}': 'a' for number in range(8)}, scenario)
+    run_simulation({f's{number}': 'a' for number in range(8)}, scenario)
 
 
 def test_a_new_giver_keeps_the_bound_and_repeats_lost_loads() -> None:
     """Guards against a change of giver that doubles the loads."""
 
-    async def scenario(world: World) -> None:
-        old = await world.add_giver('e1', two_pools(4, 0, 2))
+    async def scenario(simulation: Simulation) -> None:
+        old = await simulation.add_controller('e1', two_pools(4, 0, 2))
         await old.reconcile()
-        await world.settle()
-        new = await world.add_giver('e2', two_pools(4, 0, 2))
+        await simulation.settle()
+        new = await simulation.add_controller('e2', two_pools(4, 0, 2))
         for _ in range(3):
             await new.reconcile()
-            await world.settle()
-        assert (world.loading, new.epoch) == (2, 2)
+            await simulation.settle()
+        assert (simulation.loading, new.epoch) == (2, 2)
         # The loads got lost with the old giver's sidecars: ordered again.
-        world.now_ms += INHERITED_MS
+        simulation.now_ms += INHERITED_LOAD_TIMEOUT_MS
         await new.reconcile()
-        await world.settle()
-        assert new.ordered == set((await world.stored()).loads)
-        assert len(new.ordered) == 2
+        await simulation.settle()
+        assert new.ordered_in_epoch == set((await simulation.stored()).loads)
+        assert len(new.ordered_in_epoch) == 2
 
-    run_world({f's{number}': 'a' for number in range(4)}, scenario)
+    run_simulation({f's{number}': 'a' for number in range(4)}, scenario)
 
 
 class PausingStore:
@@ -298,26 +315,26 @@
 def test_giver_paused_before_it_reads_the_epoch() -> None:
     """Guards against an order of a giver that lost its epoch."""
 
-    async def scenario(world: World) -> None:
-        store = PausingStore(world.store)
-        old = await world.add_giver('e1', two_pools(1, 0), store)
-        await old.claim()
-        placement = await world.stored()
+    async def scenario(simulation: Simulation) -> None:
+        store = PausingStore(simulation.store)
+        old = await simulation.add_controller('e1', two_pools(1, 0), store)
+        await old.claim_epoch()
+        placement = await simulation.stored()
         store.running = anyio.Event()
-        old.order_misplaced(placement)
-        await world.settle()
-        new = await world.add_giver('e2', two_pools(1, 0))
-        await new.claim()
+        old.start_load_orders(placement)
+        await simulation.settle()
+        new = await simulation.add_controller('e2', two_pools(1, 0))
+        await new.claim_epoch()
         store.running.set()
-        await world.settle()
+        await simulation.settle()
         assert (old.epoch, new.epoch) == (0, 2)
-        assert world.loading == 0
-        assert (await world.stored()).loads == {}
+        assert simulation.loading == 0
+        assert (await simulation.stored()).loads == {}
         # It does not take the epoch back at once.
         await old.reconcile()
-        assert (await world.stored()).giver == 'e2'
+        assert (await simulation.stored()).leader == 'e2'
 
-    run_world({'s1': 'a'}, scenario)
+    run_simulation({'s1': 'a'}, scenario)
 
 
 @pytest.mark.parametrize(
@@ -327,17 +344,17 @@
 def test_giver_paused_before_it_sends(late_s: float, refusal: str) -> None:
     """Guards against a late order that undoes a newer one."""
 
-    async def scenario(world: World) -> None:
-        world.proceed.set()
-        engine = world.engines['s1']
+    async def scenario(simulation: Simulation) -> None:
+        simulation.proceed.set()
+        engine = simulation.engines['s1']
         now_s = [0.0]
         engine.gate = FencingGate(Clock(lambda: now_s[0]))
-        engine.held = []
-        old = await world.add_giver('e1', two_pools(1, 0))
+        engine.held_orders = []
+        old = await simulation.add_controller('e1', two_pools(1, 0))
         await old.reconcile()
-        await world.settle()
-        [(_, late_order)] = engine.held
-        engine.held = None
+        await simulation.settle()
+        [(_, late_order)] = engine.held_orders
+        engine.held_orders = None
         changed = two_pools(1, 0).model_copy(
             update={
                 'pools': {
@@ -347,123 +364,123 @@
                 }
             }
         )
-        new = await world.add_giver('e2', changed)
-        world.now_ms += LOAD_LIMIT_MS
+        new = await simulation.add_controller('e2', changed)
+        simulation.now_ms += LOAD_TIMEOUT_MS
         for _ in range(2):
             await new.reconcile()
-            await world.settle()
+            await simulation.settle()
         now_s[0] += late_s
-        await engine.carry_out(old, late_order)
+        await engine.execute(old, late_order)
         assert engine.refusals == [refusal]
         assert (engine.model, engine.loaded) == ('newer', [2])
 
-    run_world({'s1': 'a'}, scenario)
+    run_simulation({'s1': 'a'}, scenario)
 
 
 def test_endpoint_that_refuses_does_not_block_the_others() -> None:
     """Guards against refused loads that keep or retake the only place."""
 
-    async def scenario(world: World) -> None:
-        world.proceed.set()
-        world.engines['s1'].gate.highest = 99
-        giver = await world.add_giver('e1', two_pools(3, 0, 1))
+    async def scenario(simulation: Simulation) -> None:
+        simulation.proceed.set()
+        simulation.engines['s1'].gate.highest = 99
+        controller = await simulation.add_controller('e1', two_pools(3, 0, 1))
         for _ in range(10):
-            await giver.reconcile()
-            await world.settle()
-        models = [one.model for one in world.engines.values()]
+            await controller.reconcile()
+            await simulation.settle()
+        models = [one.model for one in simulation.engines.values()]
         assert models == ['', 'ma', 'ma']
         # It is ordered again and again, until it takes the order.
-        world.engines['s1'].gate.highest = 0
+        simulation.engines['s1'].gate.highest = 0
         for _ in range(3):
-            await giver.reconcile()
-            await world.settle()
-        assert world.engines['s1'].model == 'ma'
+            await controller.reconcile()
+            await simulation.settle()
+        assert simulation.engines['s1'].model == 'ma'
 
-    run_world({'s1': 'a', 's2': 'a', 's3': 'a'}, scenario)
+    run_simulation({'s1': 'a', 's2': 'a', 's3': 'a'}, scenario)
 
 
 def test_another_entry_that_ranks_first_gives_the_orders() -> None:
     """Guards against two entries that give orders all the time."""
 
-    async def scenario(world: World) -> None:
-        givers = [
-            await world.add_giver(name, two_pools(1, 0))
+    async def scenario(simulation: Simulation) -> None:
+        controllers = [
+            await simulation.add_controller(name, two_pools(1, 0))
             for name in ('e1', 'e2', 'e3')
         ]
-        for giver in givers:
-            for other in givers:
-                if other is not giver:
+        for controller in controllers:
+            for other in controllers:
+                if other is not controller:
                     own = other.fleet.own
-                    giver.fleet.instances[own.instance] = own
-        for giver in givers:
-            await giver.reconcile()
-        assert sum(bool(giver.epoch) for giver in givers) == 1
-        assert (await world.stored()).epoch == 1
+                    controller.fleet.instances[own.instance] = own
+        for controller in controllers:
+            await controller.reconcile()
+        assert sum(bool(controller.epoch) for controller in controllers) == 1
+        assert (await simulation.stored()).epoch == 1
 
-    run_world({'s1': 'a'}, scenario)
+    run_simulation({'s1': 'a'}, scenario)
 
 
 def test_replica_moves_once_and_stays() -> None:
     """Guards against moves that are lost, repeated or undone."""
 
-    async def scenario(world: World) -> None:
-        world.proceed.set()
-        for engine in world.engines.values():
+    async def scenario(simulation: Simulation) -> None:
+        simulation.proceed.set()
+        for engine in simulation.engines.values():
             engine.model = f'm{engine.pool}'
-        giver = await world.add_giver('e1', two_pools(3, 1))
+        controller = await simulation.add_controller('e1', two_pools(3, 1))
         unseen = Instance('a9', 'sidecar', 'a', '', 'a')
-        giver.fleet.instances['a9'] = unseen
-        with mock.patch.object(SeenEndpoints, 'visit', no_visit):
+        controller.fleet.instances['a9'] = unseen
+        with mock.patch.object(EndpointReports, 'poll', skip_polling):
             for _ in range(20):
-                world.now_ms += 2000
-                await giver.reconcile()
-                await world.settle()
+                simulation.now_ms += 2000
+                await controller.reconcile()
+                await simulation.settle()
         # An endpoint that was never looked at may be the missing one.
-        assert (await world.stored()).assigned == {}
-        giver.fleet.instances.pop('a9')
+        assert (await simulation.stored()).assigned == {}
+        controller.fleet.instances.pop('a9')
         for _ in range(300):
-            world.now_ms += 2000
-            await giver.reconcile()
-            await world.settle()
-        assert (await world.stored()).assigned == {'b1': 'a'}
-        assert world.engines['b1'].model == 'ma'
-        assert len(world.engines['b1'].loaded) == 1
+            simulation.now_ms += 2000
+            await controller.reconcile()
+            await simulation.settle()
+        assert (await simulation.stored()).assigned == {'b1': 'a'}
+        assert simulation.engines['b1'].model == 'ma'
+        assert len(simulation.engines['b1'].loaded) == 1
 
     layout = {'a1': 'a', 'a2': 'a', 'b1': 'b', 'b2': 'b'}
-    run_world(layout, scenario)
+    run_simulation(layout, scenario)
 
 
-async def no_visit(seen: SeenEndpoints, pools: Any) -> None:
+async def skip_polling(reports: EndpointReports, pools: Any) -> None:
     """Visit nothing."""
 
 
 def test_endpoints_outside_the_subset_are_visited_and_ordered() -> None:
     """Guards against endpoints that the giver is not connected to."""
 
-    async def scenario(world: World) -> None:
-        world.proceed.set()
-        giver = await world.add_giver('e1', two_pools(3, 0))
-        hidden = dict(giver.fleet.links)
-        giver.fleet.links.clear()
-        giver.seen.reports.clear()
+    async def scenario(simulation: Simulation) -> None:
+        simulation.proceed.set()
+        controller = await simulation.add_controller('e1', two_pools(3, 0))
+        unlinked = dict(controller.fleet.links)
+        controller.fleet.links.clear()
+        controller.reports.reports.clear()
 
-        async def reach(one: Instance) -> None:
-            giver.fleet.links[one.instance] = hidden[one.instance]
-            await world.tell(world.engines[one.instance])
+        async def connect(one: Instance) -> None:
+            controller.fleet.links[one.instance] = unlinked[one.instance]
+            await simulation.report_state(simulation.engines[one.instance])
             try:
                 await anyio.sleep_forever()
             finally:
-                giver.fleet.links.pop(one.instance)
+                controller.fleet.links.pop(one.instance)
 
-        giver.seen.reach = reach
-        for link in hidden.values():
-            giver.fleet.instances[link.instance.instance] = link.instance
-        while {one.model for one in world.engines.values()} != {'ma'}:
-            await giver.reconcile()
-            await world.settle()
-        assert not giver.fleet.links
+        controller.reports.connect = connect
+        for link in unlinked.values():
+            controller.fleet.instances[link.instance.instance] = link.instance
+        while {one.model for one in simulation.engines.values()} != {'ma'}:
+            await controller.reconcile()
+            await simulation.settle()
+        assert not controller.fleet.links
 
-    run_world({'s1': 'a', 's2': 'a', 's3': 'a'}, scenario)
+    run_simulation({'s1': 'a', 's2': 'a', 's3': 'a'}, scenario)
 
 
 def engines_of(layout: dict[str, str], down: set[str]) -> list[Endpoint]:
@@ -478,26 +495,26 @@
 
 
 @pytest.mark.parametrize(
-    ('counts', 'down', 'held_ms', 'moved'),
+    ('counts', 'down', 'lasted_ms', 'moved'),
     [
-        ((3, 3), set(), SHORTAGE_HOLD_MS, ''),
-        ((4, 2), set(), SHORTAGE_HOLD_MS, 'b1'),
-        ((4, 2), set(), SHORTAGE_HOLD_MS - 1, ''),
-        ((4, 3), set(), SHORTAGE_HOLD_MS, ''),
-        ((3, 2), {'a1'}, SHORTAGE_HOLD_MS, 'b1'),
-        ((3, 2), {'a1', 'b1'}, SHORTAGE_HOLD_MS, ''),
-        ((4, 0), set(), SHORTAGE_HOLD_MS, ''),
+        ((3, 3), set(), MIN_SHORTAGE_MS, ''),
+        ((4, 2), set(), MIN_SHORTAGE_MS, 'b1'),
+        ((4, 2), set(), MIN_SHORTAGE_MS - 1, ''),
+        ((4, 3), set(), MIN_SHORTAGE_MS, ''),
+        ((3, 2), {'a1'}, MIN_SHORTAGE_MS, 'b1'),
+        ((3, 2), {'a1', 'b1'}, MIN_SHORTAGE_MS, ''),
+        ((4, 0), set(), MIN_SHORTAGE_MS, ''),
     ],
 )
 def test_moves(
-    counts: tuple[int, int], down: set[str], held_ms: int, moved: str
+    counts: tuple[int, int], down: set[str], lasted_ms: int, moved: str
 ) -> None:
     """Guards against moves that are early, or from a pool that needs all."""
     pools = managed_pools(two_pools(*counts))
     endpoints = engines_of(LAYOUT, down)
-    watch = ShortageWatch()
-    assert plan_move(Placement(), pools, endpoints, watch, 0) is None
-    move = plan_move(Placement(), pools, endpoints, watch, held_ms)
+    shortages = ShortageTracker()
+    assert plan_move(Placement(), pools, endpoints, shortages, 0) is None
+    move = plan_move(Placement(), pools, endpoints, shortages, lasted_ms)
     assert (move.instance if move else '') == moved
 
 
@@ -523,9 +540,9 @@
     pools = managed_pools(two_pools(*counts))
     placement = Placement(1, '', assigned, moved_ms)
     endpoints = engines_of(LAYOUT, set())
-    watch = ShortageWatch()
-    plan_move(placement, pools, endpoints, watch, 0)
-    move = plan_move(placement, pools, endpoints, watch, SHORTAGE_HOLD_MS)
+    shortages = ShortageTracker()
+    plan_move(placement, pools, endpoints, shortages, 0)
+    move = plan_move(placement, pools, endpoints, shortages, MIN_SHORTAGE_MS)
     assert (move.instance if move else '') == moved
 
 
@@ -535,9 +552,9 @@
     third = configuration.pools['a'].model_copy(update={'replicas': 1})
     pools = {**configuration.pools, 'c': third}
     endpoints = engines_of({**LAYOUT, 'c1': 'c', 'c2': 'c'}, set())
-    watch = ShortageWatch()
-    plan_move(Placement(), pools, endpoints, watch, 0)
-    move = plan_move(Placement(), pools, endpoints, watch, SHORTAGE_HOLD_MS)
+    shortages = ShortageTracker()
+    plan_move(Placement(), pools, endpoints, shortages, 0)
+    move = plan_move(Placement(), pools, endpoints, shortages, MIN_SHORTAGE_MS)
     assert move is not None
     assert move.instance == 'c1'
 
@@ -557,24 +574,24 @@
 def test_moves_never_make_a_shortage_nor_flap(steps: list[Any]) -> None:
     """Guards against endpoints that go to and fro between pools."""
     placement = Placement()
-    watch = ShortageWatch()
+    shortages = ShortageTracker()
     now_ms = 0
     last: dict[str, int] = {}
     for down, first, second, passed_ms in steps:
         now_ms += passed_ms
         pools = managed_pools(two_pools(first, second))
         endpoints = engines_of(LAYOUT, down)
-        move = plan_move(placement, pools, endpoints, watch, now_ms)
+        move = plan_move(placement, pools, endpoints, shortages, now_ms)
         if move is None:
             continue
-        home = LAYOUT[move.instance]
+        own_pool = LAYOUT[move.instance]
         moved_ms = {**placement.moved_ms, move.instance: now_ms}
-        placement = with_move(
-            Placement(1, '', placement.assigned, moved_ms), move, home
+        placement = apply_move(
+            Placement(1, '', placement.assigned, moved_ms), move, own_pool
         )
-        surplus = surplus_of(placement, pools, endpoints)
+        surplus = surplus_by_pool(placement, pools, endpoints)
         assert surplus[move.from_pool] >= 0
-        if move.to_pool != home and move.instance in last:
+        if move.to_pool != own_pool and move.instance in last:
             assert now_ms - last[move.instance] >= MIN_STAY_MS
         last[move.instance] = now_ms
 
@@ -586,7 +603,7 @@
         ('ma', True, set(), 0, True),
         ('ma', False, set(), 0, False),
         ('mb', True, {'s1'}, 0, True),
-        ('mb', True, set(), LOAD_LIMIT_MS, True),
+        ('mb', True, set(), LOAD_TIMEOUT_MS, True),
     ],
 )
 def test_ended_loads(
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -23,14 +23,14 @@
 from quetzaldyke.process.fleet import Fleet, Instance
 from quetzaldyke.process.logs import make_log_event
 from quetzaldyke.standins.kv import KvOptions, KvStandin, run_kv
+from quetzaldyke.version.config_sync import ConfigSync, watchers_of
 from quetzaldyke.version.configuration import (
     Configuration,
     hash_key,
     pack_document,
 )
-from quetzaldyke.version.everywhere import EverywhereWait
 from quetzaldyke.version.holder import ConfigHolder
-from quetzaldyke.version.spread import Spread, watchers_of
+from quetzaldyke.version.rollout import RolloutMonitor
 from quetzaldyke.version.store import submit_patch
 
 SECRET = 'fleet-secret-0001'
@@ -53,8 +53,8 @@
     """What one entry has for its configuration."""
 
     fleet: Fleet
-    spread: Spread
-    wait: EverywhereWait
+    sync: ConfigSync
+    rollout: RolloutMonitor
     options: LinkOptions
     group: TaskGroup
     timers: TimerService
@@ -63,7 +63,7 @@
     @property
     def holder(self) -> ConfigHolder:
         """Return the node's configuration."""
-        return self.spread.holder
+        return self.sync.holder
 
     def row(self) -> Instance:
         """Return the node's row in the instance list."""
@@ -88,7 +88,7 @@
                 }
             )
         outcome = await submit_patch(
-            self.spread.store,
+            self.sync.store,
             self.holder.version,
             f'patch-{number}',
             operations,
@@ -104,12 +104,12 @@
     fleet = Fleet(Instance(name, 'entry', 'a', ''), 20)
     holder = ConfigHolder()
     log_event, _ = make_log_event(name, clock)
-    spread = Spread.from_parts(
+    sync = ConfigSync.from_parts(
         store, holder, fleet, Clock(), log_event, lambda: 0.0
     )
-    spread.subscribe(timers)
-    wait = EverywhereWait(fleet, spread.exchange, Clock())
-    wait.subscribe()
+    sync.subscribe(timers)
+    rollout = RolloutMonitor(fleet, sync.exchange, Clock())
+    rollout.subscribe()
 
     async def on_open(session: PeerSession) -> None:
         await fleet_module.opened(fleet, session)
@@ -128,7 +128,7 @@
         on_message,
         lambda session: fleet_module.closed(fleet, session),
     )
-    return Node(fleet, spread, wait, options, group, timers)
+    return Node(fleet, sync, rollout, options, group, timers)
 
 
 async def run_node(
@@ -143,8 +143,8 @@
         node = make_node(name, store, group, timers)
         node.address = await group.start(listen, '127.0.0.1:0', node.options)
         group.start_soon(timers.run)
-        group.start_soon(node.spread.run)
-        group.start_soon(node.wait.run)
+        group.start_soon(node.sync.run)
+        group.start_soon(node.rollout.run)
         task_status.started(node)
         await anyio.sleep_forever()
 
@@ -213,10 +213,10 @@
         introduce(first, second)
         for number in (11, 12, 13):
             version = await first.submit(number)
-            await first.spread.refresh()
+            await first.sync.refresh()
             current = await second.holder.wait_for(version)
             assert current.max_item_tries == number
-        exchange = first.spread.exchange
+        exchange = first.sync.exchange
         assert (exchange.sent_documents, exchange.sent_deltas) == (1, 2)
 
     run_scenario(scenario)
@@ -244,7 +244,7 @@
     async def scenario(standin: KvStandin, start: Any) -> None:
         writer = await start('e0')
         await writer.submit(11)
-        await writer.spread.refresh()
+        await writer.sync.refresh()
         for _ in range(3):
             standin.state.put(b'other', b'', 0)
         standin.state.compacted = standin.state.revision
@@ -252,15 +252,15 @@
         stop_polling(node)
         # The first watch is cancelled at once; the second one stays.
         while standin.counts.calls['watch'] < 2 or not (
-            standin.counts.open_watches and node.spread.watch_gave
+            standin.counts.open_watches and node.sync.watch_delivered
         ):
             await anyio.sleep(0.01)
         refreshed: list[int] = []
 
-        async def refresh(spread: Spread) -> None:
+        async def refresh(sync: ConfigSync) -> None:
             refreshed.append(1)
 
-        with mock.patch.object(Spread, 'refresh', refresh):
+        with mock.patch.object(ConfigSync, 'refresh', refresh):
             version = await writer.submit(12)
             await node.holder.wait_for(version)
         assert not refreshed
@@ -275,13 +275,13 @@
         first, second = await start('e1'), await start('e2')
         version = await first.submit(11)
         first.group.cancel_scope.cancel()
-        await second.spread.poll()
+        await second.sync.poll()
         assert second.holder.version == version
         # A second version, now that the first is known.
         third = await start('e3')
-        await third.spread.refresh()
+        await third.sync.refresh()
         version = await third.submit(12)
-        await second.spread.poll()
+        await second.sync.poll()
         assert second.holder.version == version
 
     run_scenario(scenario)
@@ -293,10 +293,10 @@
     async def scenario(standin: KvStandin, start: Any) -> None:
         node = await start('e1')
         await node.submit(11)
-        await node.spread.refresh()
+        await node.sync.refresh()
         before = standin.counts.calls['range']
         for _ in range(5):
-            await node.spread.poll()
+            await node.sync.poll()
         assert standin.counts.calls['range'] - before == 5
 
     run_scenario(scenario)
@@ -309,16 +309,16 @@
         first, second = await start('e1'), await start('e2')
         introduce(first, second)
         version = await first.submit(11)
-        await first.spread.refresh()
+        await first.sync.refresh()
         await second.holder.wait_for(version)
         standin.faults.down = True
         third = await start('e3')
-        await third.spread.poll()
-        await third.spread.check()
-        assert not third.spread.settled
+        await third.sync.poll()
+        await third.sync.check()
+        assert not third.sync.synced
         introduce(first, second, third)
         await third.holder.wait_for(version)
-        while not third.spread.settled:
+        while not third.sync.synced:
             await anyio.sleep(0.02)
         assert third.holder.version == version
         assert third.holder.current.max_item_tries == 11
@@ -333,16 +333,16 @@
         first, second = await start('e1'), await start('e2')
         introduce(first, second)
         await first.submit(11)
-        await first.spread.refresh()
+        await first.sync.refresh()
         version = await first.submit(12)
-        await first.spread.refresh()
+        await first.sync.refresh()
         await second.holder.wait_for(version)
         old = pack_document(Configuration(max_item_tries=99))
         first.fleet.send_to_entry('e2', messages.ConfigPush(1, old))
         first.fleet.send_to_entry('e2', messages.ConfigPush(version, old))
         # A later version over the same connection proves that they arrived.
         version = await first.submit(13)
-        await first.spread.refresh()
+        await first.sync.refresh()
         await second.holder.wait_for(version)
         assert second.holder.current.max_item_tries == 13
         assert second.holder.refused_version == 0
@@ -357,12 +357,12 @@
         first, second = await start('e1'), await start('e2')
         introduce(first, second)
         version = await first.submit(11)
-        await first.spread.refresh()
-        assert await first.wait.wait_everywhere(version, LIMIT_S) == []
+        await first.sync.refresh()
+        assert await first.rollout.wait_for_rollout(version, LIMIT_S) == []
         silent = Instance('s9', 'sidecar', 'a', '127.0.0.1:1', 'orders')
         first.fleet.instances['s9'] = silent
-        assert await first.wait.wait_everywhere(version, 0.2) == ['s9']
-        assert await first.wait.wait_everywhere(version + 1, 0.2) == [
+        assert await first.rollout.wait_for_rollout(version, 0.2) == ['s9']
+        assert await first.rollout.wait_for_rollout(version + 1, 0.2) == [
             'e1',
             'e2',
             's9',
@@ -377,7 +377,7 @@
     async def scenario(standin: KvStandin, start: Any) -> None:
         node = await start('e1')
         version = await node.submit(11)
-        await node.spread.refresh()
+        await node.sync.refresh()
         pushed: list[messages.Message] = []
         arrived = anyio.Event()
 
@@ -407,7 +407,7 @@
         first, second = await start('e1'), await start('e2')
         introduce(first, second)
         version = await first.submit(11)
-        await first.spread.refresh()
+        await first.sync.refresh()
         listed = Instance('s1', 'sidecar', 'a', '127.0.0.1:1', 'orders')
         first.fleet.instances['s1'] = listed
 
@@ -420,7 +420,7 @@
             group.start_soon(
                 run_fake_sidecar, second.address, on_message, version
             )
-            assert await first.wait.wait_everywhere(version, LIMIT_S) == []
+            assert await first.rollout.wait_for_rollout(version, LIMIT_S) == []
             assert 's1' not in first.fleet.links
             group.cancel_scope.cancel()
 
