--- a/src/quetzaldyke/version/__init__.py
+++ b/src/quetzaldyke/version/__init__.py
@@ -1,1 +1,1 @@
-"""State that lives for one version of the configuration or placement."""
+"""Configuration and placement: versions, storage and propagation."""
--- a/src/quetzaldyke/version/config_sync.py
+++ b/src/quetzaldyke/version/config_sync.py
@@ -1,9 +1,9 @@
-"""Brings every accepted configuration into force in one entry and its peers.
+"""Propagates accepted configurations to one entry and its peers.
 
-Three ways work side by side, so that no single broken one delays a version
-for long: a few entries in each failure domain watch the value, every entry
-looks for a new version every 4 s, and processes exchange versions over
-their connections.
+Three mechanisms run in parallel, so that the failure of any one does not
+delay a version for long: a few entries in each failure domain watch the
+stored value, every entry polls for a new version every 4 s, and processes
+exchange versions over their connections.
 """
 
 from __future__ import annotations
@@ -40,17 +40,18 @@
 WATCHERS_PER_DOMAIN: Final = 3
 WATCH_RANK_KEY: Final = 'config-watch'
 POLL_INTERVAL_S: Final = 4.0
-# A process that starts in an outage gives its peers this long to connect,
-# so that it does not start from a peer that is itself behind.
+# An entry that starts during a store outage gives its peers this long to
+# connect, so that it does not start from a peer that is itself behind.
 PEER_CONNECT_WAIT_S: Final = 3.0
 WATCH_RETRY_S: Final = 0.5
-# The service's protocol takes the next revision; 0 means the present one.
+# Starts a watch at the current revision: the service's protocol takes the
+# next revision, for which 0 means the current one.
 FROM_NOW: Final = -1
 
 
 @dataclass(slots=True)
 class ConfigSync:
-    """Where one entry learns of versions."""
+    """Keeps one entry's configuration at the latest version."""
 
     store: KeyValueStore
     holder: ConfigHolder
@@ -59,11 +60,11 @@
     log_event: LogEvent
     exchange: ConfigExchange
     version_hint: VersionHintReader = field(default_factory=VersionHintReader)
-    # True once the value was read, or the peers' highest version is held.
+    # True once the value was read or the peers' highest version adopted.
     synced: bool = False
     first_peer_at_s: float | None = None
     last_revision: int = 0
-    # Whether the watch may start after the last revision seen.
+    # Whether the next watch may start after the last revision seen.
     watch_delivered: bool = True
 
     @classmethod
@@ -76,12 +77,12 @@
         log_event: LogEvent,
         random_fraction: Callable[[], float] = random.random,
     ) -> ConfigSync:
-        """Build the spread of one entry."""
+        """Build the synchronisation of one entry with its exchange."""
         exchange = ConfigExchange(holder, clock, random_fraction)
         return cls(store, holder, fleet, clock, log_event, exchange)
 
     def subscribe(self, timers: TimerService) -> None:
-        """Take part in the entry's messages and timers."""
+        """Subscribe to peers' messages, adopted versions and timers."""
         kinds = (
             Heartbeat,
             ConfigVersion,
@@ -97,18 +98,21 @@
         timers.subscribe('config_poll', POLL_INTERVAL_S, self.poll)
 
     async def on_open(self, session: PeerSession) -> None:
-        """Take a new peer into the exchange."""
+        """Add a newly connected peer to the exchange."""
         if self.first_peer_at_s is None:
             self.first_peer_at_s = self.clock.now()
         self.exchange.add_peer(session)
 
     def on_change(self, version: int, configuration: Configuration) -> None:
-        """Announce an adopted version."""
+        """Log an adopted version and announce it to the peers."""
         self.log_event('config_adopted', version=version)
         self.exchange.announce()
 
     def on_head(self, head: Head) -> None:
-        """Adopt a value that was read; the last read wins only if higher."""
+        """Adopt a value that was read if its version is higher.
+
+        Logs a document that can't be read.
+        """
         self.synced = True
         if head.version <= self.holder.version:
             return
@@ -131,7 +135,7 @@
             )
 
     async def check(self) -> None:
-        """Keep the exchange going and settle a start without the store."""
+        """Run the exchange's checks; sync from peers without the store."""
         self.exchange.check()
         if not self.synced and self.matches_peers():
             self.synced = True
@@ -140,8 +144,8 @@
     def matches_peers(self) -> bool:
         """Tell whether this entry holds the highest version of its peers.
 
-        At a start it waits for every listed entry, or for PEERS_WAIT_S after
-        the first peer.
+        False until every listed entry is connected, or PEER_CONNECT_WAIT_S
+        has passed since the first peer connected.
         """
         version = self.holder.version
         if not version or version < self.exchange.highest_peer_version():
@@ -154,7 +158,7 @@
         return not absent or waited_s >= PEER_CONNECT_WAIT_S
 
     async def poll(self) -> None:
-        """Look for a new version; a failed look is repeated by the timer."""
+        """Read the value if a newer version may exist; the timer retries."""
         if self.synced:
             version = self.holder.version
             if not await self.version_hint.should_read(self.store, version):
@@ -162,7 +166,7 @@
         await self.refresh()
 
     async def refresh(self) -> None:
-        """Read the value and adopt it."""
+        """Read the value and adopt it; do nothing if the read fails."""
         answer = await read(self.store, CONFIG_KEY)
         if isinstance(answer, Err):
             return
@@ -171,18 +175,18 @@
         self.on_head(Head.unpack(stored.payload))
 
     def is_watcher(self) -> bool:
-        """Tell whether this entry ranks among its domain's watchers."""
+        """Tell whether this entry is a watcher of its failure domain."""
         own = self.fleet.own
         return own.instance in watchers_of(self.fleet, own.failure_domain)
 
     async def run(self) -> None:
-        """Watch the value while this entry ranks for it, until cancelled."""
+        """Watch the value whenever this entry is a watcher, until cancelled."""
         await self.refresh()
         while True:
             if self.is_watcher():
                 await self.watch()
-                # A broken watch may have missed a change; one that lost its
-                # rank need not read.
+                # A watch that broke may have missed a change; one that ended
+                # because the entry lost its rank needs no read.
                 if self.is_watcher():
                     await self.refresh()
             await anyio.sleep(WATCH_RETRY_S)
@@ -191,9 +195,9 @@
         """Adopt versions as they are written until the watch ends.
 
         The watch starts after the last revision seen, so nothing written
-        between two watches is missed. The service may have discarded what
-        follows that revision; a watch that ends without a change is
-        therefore followed by one from now on.
+        between two watches is missed. The service may have compacted the
+        revisions that follow it; a watch that ends without a change is
+        therefore followed by one that starts at the current revision.
         """
         after = self.last_revision if self.watch_delivered else FROM_NOW
         self.watch_delivered = after == FROM_NOW
@@ -204,7 +208,7 @@
                 return
 
     def on_watch_event(self, change: Change) -> None:
-        """Adopt the value of a change that the watch gave."""
+        """Adopt the value in a change that the watch delivered."""
         entry = change.entry
         self.last_revision = max(self.last_revision, entry.revision)
         if entry.key == CONFIG_KEY and not change.deleted:
@@ -212,7 +216,10 @@
 
 
 def watchers_of(fleet: Fleet, failure_domain: str) -> list[str]:
-    """Return the entries of a failure domain that watch the value."""
+    """Return the entries of a failure domain that watch the value.
+
+    Leaving entries are excluded.
+    """
     listed = [fleet.own, *fleet.instances.values()]
     names = {
         row.instance
--- a/src/quetzaldyke/version/configuration.py
+++ b/src/quetzaldyke/version/configuration.py
@@ -1,4 +1,4 @@
-"""Document of one configuration version, validated as a whole."""
+"""Schema, validation and packed form of the configuration document."""
 
 from __future__ import annotations
 
@@ -22,29 +22,29 @@
 
 
 class StrictModel(BaseModel):
-    """Model that refuses unknown fields."""
+    """Immutable model that rejects unknown fields."""
 
     model_config = ConfigDict(extra='forbid', frozen=True)
 
 
 class Pool(StrictModel):
-    """Endpoints that serve one model or one plain service."""
+    """Pool of endpoints that serve one model or one plain service."""
 
     kind: Literal['engine', 'service'] = 'engine'
     model: str = ''
     version: str = ''
     adapter: str = ''
-    # Replicas that placement keeps in the pool; 0 leaves the pool as it is.
+    # Replicas that placement maintains; 0 excludes the pool from placement.
     replicas: int = Field(default=0, ge=0)
-    # Whether the endpoints themselves refuse orders with an old token.
+    # Whether the engines themselves reject orders with a stale fencing token.
     engines_check_fencing: bool = False
-    # Local endpoints busier than this ratio let requests spill over to
+    # Load ratio of the local endpoints above which requests spill over to
     # other failure domains.
     spill_ratio: float = Field(default=0.8, gt=0, le=1)
 
 
 class Organisation(StrictModel):
-    """A customer and its limits over the whole fleet."""
+    """A customer and its fleet-wide limits."""
 
     key_sha256: KeyHash
     requests_per_s: float = Field(default=100.0, gt=0)
@@ -54,7 +54,7 @@
 
 
 class LendingRule(StrictModel):
-    """Work of `borrower` may use this share of the lender's slots."""
+    """Lets work of `borrower` use up to a share of the lender's slots."""
 
     borrower: Name
     lender: Name
@@ -64,13 +64,13 @@
 
 
 class WeightStore(StrictModel):
-    """Limits of the weight store."""
+    """Limits on loads from the weight store."""
 
     concurrent_loads: int = Field(default=2, ge=1)
 
 
 class Configuration(StrictModel):
-    """Everything that operators set for the fleet."""
+    """Fleet-wide configuration that operators maintain."""
 
     pools: dict[Name, Pool] = Field(default_factory=dict)
     organisations: dict[Name, Organisation] = Field(default_factory=dict)
@@ -80,7 +80,7 @@
 
     @model_validator(mode='after')
     def check_lending(self) -> Configuration:
-        """Refuse rules that name a pool that does not exist."""
+        """Reject lending rules that name an unknown pool."""
         for rule in self.lending:
             for name in (rule.borrower, rule.lender):
                 if name not in self.pools:
@@ -92,25 +92,28 @@
 
 
 def hash_key(key: str) -> str:
-    """Return the form in which a bearer key is stored."""
+    """Return the hash under which a bearer key is stored."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def pack_document(configuration: Configuration) -> bytes:
-    """Return the compressed form that is stored and sent."""
+    """Return the compressed form that is stored and sent to peers."""
     text = configuration.model_dump_json(exclude_defaults=True)
     return zlib.compress(text.encode(), COMPRESSION_LEVEL)
 
 
 def unpack_document(raw: bytes) -> Configuration:
-    """Return the configuration of a stored document."""
+    """Return the configuration of a packed document, or EMPTY for `b''`.
+
+    Raises zlib.error or ValidationError if it can't be read.
+    """
     if not raw:
         return EMPTY
     return Configuration.model_validate_json(zlib.decompress(raw))
 
 
 def check_document(document: object) -> Result[Configuration, Errors]:
-    """Validate an operator's document and report every finding."""
+    """Validate an operator's document; return all errors if it fails."""
     try:
         return Ok(Configuration.model_validate_json(json.dumps(document)))
     except ModelError as exc:
--- a/src/quetzaldyke/version/endpoint_reports.py
+++ b/src/quetzaldyke/version/endpoint_reports.py
@@ -1,7 +1,7 @@
-"""What the giver of orders knows of the endpoints.
+"""Collects the latest report of each endpoint for placement.
 
-Endpoints that it is connected to report by themselves. Those outside its
-subset are visited in turn, because one process can't hold a connection to
+Connected endpoints send reports by themselves. Those outside the entry's
+subset are polled in turn, because one process can't hold a connection to
 each of 7,900 sidecars within its limits.
 """
 
@@ -19,19 +19,19 @@
 from quetzaldyke.process.fleet import Fleet, Instance
 from quetzaldyke.version.placement import Endpoint
 
-# Visits in one round of 2 s. A visit costs about 1 KB; one turn through 7,900
+# Polls in one round of 2 s. A poll costs about 1 KB; one pass over 7,900
 # endpoints takes about half an hour.
 POLLS_PER_ROUND: Final = 8
 POLL_TIMEOUT_S: Final = 2.0
 CHECK_INTERVAL_S: Final = 0.05
 
-# Connects to an instance until it is cancelled.
+# Connects to an instance and stays connected until cancelled.
 Connect = Callable[[Instance], Coroutine[Any, Any, None]]
 
 
 @dataclass(slots=True)
 class EndpointReports:
-    """Latest report of each endpoint."""
+    """Latest reports, and the order in which endpoints are polled."""
 
     fleet: Fleet
     connect: Connect
@@ -40,16 +40,16 @@
     poll_order: list[str] = field(default_factory=list)
 
     def subscribe(self) -> None:
-        """Take part in the fleet's messages."""
+        """Subscribe to the reports of connected endpoints."""
         self.fleet.subscribe(Report, self.on_report)
 
     async def on_report(self, session: PeerSession, report: Message) -> None:
-        """Remember what an endpoint serves."""
+        """Store the report of an endpoint."""
         if isinstance(report, Report):
             self.reports[session.remote.instance] = report
 
     def endpoints(self) -> list[Endpoint]:
-        """Return the listed endpoints of pools that have engines."""
+        """Return the listed or connected endpoints that have reported."""
         links = self.fleet.links
         known = dict(self.fleet.instances)
         known.update({name: link.instance for name, link in links.items()})
@@ -72,7 +72,10 @@
         ]
 
     def all_polled(self, pools: Collection[str]) -> bool:
-        """Tell whether every listed endpoint of the pools was looked at."""
+        """Tell whether every listed endpoint of the pools was polled.
+
+        One that has reported by itself counts as polled.
+        """
         known = {*self.polled, *self.reports}
         return all(
             row.instance in known
@@ -81,7 +84,7 @@
         )
 
     def own_pool_of(self, instance: str) -> str:
-        """Return the pool that an endpoint belongs to."""
+        """Return the pool that an endpoint belongs to; empty if unknown."""
         link = self.fleet.links.get(instance)
         row = link.instance if link else self.fleet.instances.get(instance)
         return row.pool if row else ''
@@ -91,7 +94,10 @@
         instance: str,
         group: TaskGroup,
     ) -> PeerSession | None:
-        """Return a session to an endpoint; None when it can't be reached."""
+        """Return a session to an endpoint; None if it can't be reached.
+
+        Connects in `group` if there is no connection yet.
+        """
         link = self.fleet.links.get(instance)
         row = self.fleet.instances.get(instance)
         if link is None and row is not None:
@@ -103,7 +109,10 @@
         return link.session if link else None
 
     async def poll(self, pools: Collection[str]) -> None:
-        """Fetch the reports of a few endpoints outside the subset."""
+        """Fetch the reports of a few endpoints outside the subset.
+
+        Discards the reports of endpoints that are gone.
+        """
         for name in list(self.reports):
             if name not in self.fleet.instances | self.fleet.links:
                 self.reports.pop(name)
@@ -122,7 +131,7 @@
                 group.start_soon(self.poll_endpoint, name)
 
     async def poll_endpoint(self, instance: str) -> None:
-        """Connect to an endpoint until it has reported."""
+        """Connect to an endpoint until it reports or the time-out passes."""
         self.polled.add(instance)
         self.reports.pop(instance, None)
         with anyio.move_on_after(POLL_TIMEOUT_S):
--- a/src/quetzaldyke/version/exchange.py
+++ b/src/quetzaldyke/version/exchange.py
@@ -1,9 +1,10 @@
-"""Exchange of configuration versions over the existing peer connections.
+"""Exchanges configuration versions over the existing peer connections.
 
-A process announces its version; one that is behind asks one peer at a time
-for what it lacks. With pushes, each of the 500 peers of a restarted entry
-would send it the whole document. A peer that stays behind without asking
-is sent the whole document, so that one that can't ask gets it too.
+A process announces its version; one that is behind requests what it lacks
+from one peer at a time. If peers pushed instead, each of the 500 peers of a
+restarted entry would send it the whole document. A peer that stays behind
+without a request is sent the whole document, so that a peer that can't
+send requests gets it too.
 """
 
 from __future__ import annotations
@@ -24,17 +25,18 @@
 from quetzaldyke.version.holder import ConfigHolder
 
 CHECK_INTERVAL_S: Final = 0.25
-# An answer is one round trip away; another peer is asked after this time.
+# A reply takes one round trip; after this time another peer is asked.
 REQUEST_TIMEOUT_S: Final = 1.0
-# Sidecars connect to several entries; the first push normally makes the
-# others unnecessary, so each entry waits for a time of its own.
+# Sidecars connect to several entries, and the first push normally makes the
+# others unnecessary. Each entry therefore adds a random delay.
 PUSH_DELAY_S: Final = 0.5
 PUSH_JITTER_S: Final = 1.5
 PUSH_RETRY_S: Final = 3.0
-# A peer of an older release may refuse every push; the time between pushes
+# A peer of an older release may reject every push; the time between pushes
 # doubles up to 96 s.
 MAX_PUSH_DOUBLINGS: Final = 5
-# A delta costs the receiver a replay; it must save bytes to be worth it.
+# Largest size of a delta relative to the document. A delta costs the
+# receiver a replay of the patches, which has to be worth the bytes saved.
 MAX_DELTA_RATIO: Final = 0.5
 
 Random = Callable[[], float]
@@ -42,7 +44,7 @@
 
 @dataclass(slots=True)
 class PeerState:
-    """What one connected peer has told."""
+    """Version that a connected peer reported, and the pushes to it."""
 
     session: PeerSession
     version: int
@@ -53,7 +55,7 @@
 
 @dataclass(slots=True)
 class ConfigExchange:
-    """Versions of the connected peers, and the request under way."""
+    """Versions of the connected peers, and the request in progress."""
 
     holder: ConfigHolder
     clock: Clock
@@ -61,32 +63,35 @@
     peers: dict[int, PeerState] = field(default_factory=dict)
     requested_peer: PeerSession | None = None
     requested_at_s: float = 0.0
-    # Counts for metrics and measurements.
+    # Counters for metrics and measurements.
     sent_deltas: int = 0
     sent_documents: int = 0
 
     def add_peer(self, session: PeerSession) -> None:
-        """Take a new connection; its Hello told a version."""
+        """Add a connection, with the version in its Hello message."""
         self.peers[id(session)] = PeerState(session, 0)
-        # The Hello may be older than an adoption that happened meanwhile.
+        # Our own Hello may predate a version adopted in the meantime.
         session.send(ConfigVersion(self.holder.version))
         self.record_version(session, session.remote.config_version)
 
     def remove_closed_peers(self) -> None:
-        """Drop connections that have ended."""
+        """Remove the peers whose connection is closed."""
         for key, peer in list(self.peers.items()):
             if peer.session.closed:
                 self.peers.pop(key)
 
     def reported_version(self, instance: str) -> int | None:
-        """Return the version that a connected process last told."""
+        """Return the version that a process last reported.
+
+        None if it is not connected.
+        """
         for peer in self.peers.values():
             if peer.session.remote.instance == instance:
                 return None if peer.session.closed else peer.version
         return None
 
     def highest_peer_version(self) -> int:
-        """Return the highest version of the connected peers."""
+        """Return the highest version of the connected peers, or 0."""
         return max(
             (peer.version for peer in self.open_peers()),
             default=0,
@@ -101,7 +106,7 @@
         self.handle(session, message)
 
     def handle(self, session: PeerSession, message: Message) -> bool:
-        """Handle a message; True when a higher version was adopted."""
+        """Handle a message; return True if a version was adopted."""
         match message:
             case Heartbeat(config_version=version):
                 self.record_version(session, version)
@@ -116,7 +121,7 @@
         return False
 
     def record_version(self, session: PeerSession, version: int) -> None:
-        """Remember a peer's version; ask it if it is ahead."""
+        """Record a peer's version and request it if it is newer than ours."""
         peer = self.peers.get(id(session))
         if peer is None:
             return
@@ -127,14 +132,14 @@
             self.request_from(peer)
 
     def request_from(self, peer: PeerState) -> None:
-        """Ask an entry for its version unless another is being asked.
+        """Request a peer's version unless another request is in progress.
 
         Sidecars are not asked; they push to entries that stay behind.
         """
         if peer.session.remote.role != 'entry':
             return
         if peer.version <= self.holder.refused_version:
-            # Another copy of a document that this release can't read.
+            # This release could not read the document of that version.
             return
         now_s = self.clock.now()
         pending = (
@@ -147,7 +152,10 @@
         peer.session.send(ConfigRequest(self.holder.version))
 
     def answer_request(self, session: PeerSession, version: int) -> None:
-        """Send a delta if that is cheaper, else the whole document."""
+        """Send a delta if it is small enough, else the whole document.
+
+        Sends nothing to a peer that is not behind.
+        """
         if version >= self.holder.version:
             return
         patches = self.holder.patches_since(version) if version else None
@@ -165,24 +173,27 @@
         self.push(session)
 
     def saves_bytes(self, patches: list[bytes]) -> bool:
-        """Tell whether patches save enough bytes against the document."""
+        """Tell whether patches are small enough next to the document."""
         size = sum(len(patch) for patch in patches)
         return size < len(self.holder.document) * MAX_DELTA_RATIO
 
     def push(self, session: PeerSession) -> None:
-        """Send the whole document."""
+        """Send the whole document to a peer."""
         self.sent_documents += 1
         session.send(ConfigPush(self.holder.version, self.holder.document))
 
     def adopt_push(self, session: PeerSession, push: ConfigPush) -> bool:
-        """Take a whole document."""
+        """Adopt a whole document; return False if it is not adopted."""
         self.end_request(session)
         adopted = self.holder.adopt(push.version, push.document)
         self.record_version(session, push.version)
         return adopted
 
     def adopt_delta(self, session: PeerSession, delta: ConfigDelta) -> bool:
-        """Take patches; ask for the whole document if they don't fit."""
+        """Adopt patches; request the whole document if they can't be applied.
+
+        Returns False unless the patches were adopted.
+        """
         self.end_request(session)
         if delta.version <= self.holder.version:
             return False
@@ -200,18 +211,18 @@
         return False
 
     def end_request(self, session: PeerSession) -> None:
-        """End the request under way if this peer was asked."""
+        """End the request in progress if it was sent to this peer."""
         if self.requested_peer is session:
             self.requested_peer = None
 
     def announce(self) -> None:
-        """Tell every peer the version in force."""
+        """Send the current version to every connected peer."""
         version = self.holder.version
         for peer in self.open_peers():
             peer.session.send(ConfigVersion(version))
 
     def check(self) -> None:
-        """Ask again when behind, and push to peers that stay behind."""
+        """Request again when behind, and push to peers that stay behind."""
         self.remove_closed_peers()
         ahead = max(
             self.open_peers(),
@@ -224,12 +235,12 @@
             self.push_if_due(peer)
 
     def request_priority(self, peer: PeerState) -> tuple[bool, int, bool]:
-        """Return the order in which peers are asked."""
+        """Return the sort key of a peer; the highest is asked first."""
         is_entry = peer.session.remote.role == 'entry'
         return is_entry, peer.version, peer.session is not self.requested_peer
 
     def push_if_due(self, peer: PeerState) -> None:
-        """Push to a peer that has been behind for long enough."""
+        """Push to a peer that has been behind until its push is due."""
         if peer.version >= self.holder.version:
             peer.push_at_s = 0
             peer.pushes = 0
--- a/src/quetzaldyke/version/holder.py
+++ b/src/quetzaldyke/version/holder.py
@@ -1,4 +1,4 @@
-"""The configuration that is in force in one process."""
+"""Holds the configuration that is in force in one process."""
 
 from __future__ import annotations
 
@@ -26,20 +26,20 @@
 
 @dataclass(slots=True)
 class ConfigHolder:
-    """Present configuration; only higher versions replace it."""
+    """Current configuration; only a higher version replaces it."""
 
     versioned: Versioned[Configuration] = field(
         default_factory=lambda: Versioned(EMPTY),
     )
-    # Highest version that could not be read, and why. A process of an older
-    # release meets it when operators use a field that it does not know.
+    # Highest version that could not be read, and why. This happens in a
+    # process of an older release if operators use a field unknown to it.
     refused_version: int = 0
     refused_reason: str = ''
-    # Patches that led to the present version, the last one to it.
+    # Patches that led to the current version, oldest first.
     patches: deque[bytes] = field(
         default_factory=lambda: deque(maxlen=KEPT_PATCHES),
     )
-    # Packed form and digest of the present version, made when asked for.
+    # Packed form and digest of the current version, computed on demand.
     document_cache: bytes | None = None
     digest_cache: str = ''
 
@@ -55,20 +55,20 @@
 
     @property
     def document(self) -> bytes:
-        """Return the packed form of the present version."""
+        """Return the packed form of the current version."""
         if self.document_cache is None:
             self.document_cache = pack_document(self.current)
         return self.document_cache
 
     @property
     def digest(self) -> str:
-        """Return the digest of the present version."""
+        """Return the digest of the current version."""
         if not self.digest_cache:
             self.digest_cache = configuration_digest(self.current)
         return self.digest_cache
 
     def adopt(self, version: int, document: bytes) -> bool:
-        """Put a packed document in force; False if not higher or invalid."""
+        """Adopt a packed document; False if not higher or not readable."""
         if version <= self.version:
             return False
         try:
@@ -88,10 +88,10 @@
         packed_patches: Sequence[bytes],
         digest: str = '',
     ) -> bool:
-        """Put the outcome of the patches after the present version in force.
+        """Apply patches to the current version and adopt the result.
 
-        False if they don't lead from here to a higher version, or to another
-        document than the digest says.
+        False if they can't be applied, don't lead from the current version
+        to `version`, or give a document with another digest.
         """
         if version != self.version + len(packed_patches):
             return False
@@ -109,7 +109,7 @@
         return self.versioned.adopt(version, configuration)
 
     def patches_since(self, version: int) -> list[bytes] | None:
-        """Return the patches after a version; None if any is not kept."""
+        """Return the patches after a version; None if not all are kept."""
         count = self.version - version
         if not 0 < count <= len(self.patches):
             return None
--- a/src/quetzaldyke/version/order_calls.py
+++ b/src/quetzaldyke/version/order_calls.py
@@ -1,4 +1,4 @@
-"""Question and answer between the giver of orders and a sidecar."""
+"""Request-reply calls for load orders, from a leader to a sidecar."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 from quetzaldyke.version.configuration import Pool
 
 NONCE_TIMEOUT_S: Final = 2.0
-# A load takes minutes; a giver that hears nothing orders it again.
+# A load takes minutes; without a result in this time it is ordered again.
 RESULT_TIMEOUT_S: Final = 600.0
 CLOSED_POLL_S: Final = 1.0
 
 
 @dataclass(slots=True)
 class OrderCalls:
-    """Orders of one entry that wait for an answer."""
+    """Order calls of one entry that await a reply."""
 
     fleet: Fleet
     counter: itertools.count[int] = field(default_factory=itertools.count)
@@ -36,12 +36,12 @@
     results: dict[str, OrderResult] = field(default_factory=dict)
 
     def subscribe(self) -> None:
-        """Take part in the fleet's messages."""
+        """Subscribe to nonces and order results."""
         self.fleet.subscribe(OrderNonce, self.on_reply)
         self.fleet.subscribe(OrderResult, self.on_reply)
 
     async def on_reply(self, session: PeerSession, reply: Message) -> None:
-        """Hand an answer to the order that waits for it."""
+        """Pass a reply to the call that awaits it; drop it if none does."""
         match reply:
             case OrderNonce(order_id=order_id, nonce=nonce):
                 self.nonces[order_id] = nonce
@@ -56,17 +56,17 @@
             event.set()
 
     def new_order_id(self) -> str:
-        """Return an id for an order of this process."""
+        """Return an order id that is unique within this process."""
         return f'{self.fleet.own.instance}-{next(self.counter)}'
 
     def forget(self, order_id: str) -> None:
-        """Drop what is kept of an order."""
+        """Discard the state of an order."""
         self.reply_events.pop(order_id, None)
         self.nonces.pop(order_id, None)
         self.results.pop(order_id, None)
 
     async def request_nonce(self, session: PeerSession, order_id: str) -> str:
-        """Return the sidecar's nonce, or nothing."""
+        """Request a nonce for an order; empty if none arrives in time."""
         event = anyio.Event()
         self.reply_events[order_id] = event
         session.send(OrderPrepare(order_id))
@@ -79,7 +79,10 @@
         session: PeerSession,
         order: Order,
     ) -> OrderResult | None:
-        """Send an order and wait for its outcome; None when unknown."""
+        """Send an order; return its result, or None if none arrives.
+
+        Stops waiting when the session closes or after RESULT_TIMEOUT_S.
+        """
         event = anyio.Event()
         self.reply_events[order.order_id] = event
         session.send(order)
@@ -91,7 +94,7 @@
 
 
 def load_order(order_id: str, nonce: str, token: int, pool: Pool) -> Order:
-    """Return the order to load what a pool serves."""
+    """Return the order to load a pool's model, version and adapter."""
     return Order(
         order_id,
         nonce,
--- a/src/quetzaldyke/version/patching.py
+++ b/src/quetzaldyke/version/patching.py
@@ -1,10 +1,10 @@
-"""JSON Patch on configuration documents.
+"""Applies JSON Patch operations to configuration documents.
 
 A patch applies to the whole document with its defaults filled in, so that
 an operator may replace a field that was never set. Most patches touch a few
 entries of the large tables; only these are then dumped, patched and
-validated. With 5,600 organisations a patch of the whole document takes
-96 ms of processor time in every process, 9,900 times a day.
+validated. With 5,600 organisations, patching the whole document would take
+96 ms of CPU time in every process, 9,900 times a day.
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
 )
 
 MAX_OPERATIONS: Final = 1000
-# Each copy of the root into itself doubles the document.
+# Each copy of the root into itself doubles the size of the document.
 MAX_COPIES: Final = 4
 DIGEST_CHARS: Final = 16
-# Table that grows with the number of customers; the others stay small.
+# The only table that grows with the number of customers; others stay small.
 LARGE_TABLE: Final = 'organisations'
 PATCH_EXCEPTIONS: Final = (
     jsonpatch.JsonPatchException,
     jsonpointer.JsonPointerException,
-    # The library raises plain errors for some operations whose value has
-    # another type than the target.
+    # jsonpatch raises these for some operations whose value has another type
+    # than the target.
     TypeError,
     KeyError,
     ValueError,
@@ -51,7 +51,7 @@
     configuration: Configuration,
     operations: Operations,
 ) -> Result[Configuration, Errors]:
-    """Return the patched and validated configuration, or the findings."""
+    """Return the patched and validated configuration, or all errors."""
     errors = check_size(operations)
     if errors.found:
         return Err(errors)
@@ -62,7 +62,7 @@
 
 
 def check_size(operations: Operations) -> Errors:
-    """Refuse patches that could exhaust the memory."""
+    """Return the errors of a patch that could exhaust the memory."""
     errors = Errors()
     if len(operations) > MAX_OPERATIONS:
         errors.add('patch', f'more than {MAX_OPERATIONS} operations')
@@ -73,9 +73,9 @@
 
 
 def touched_organisations(operations: Operations) -> set[str] | None:
-    """Return the organisations that a patch names.
+    """Return the names of the organisations that a patch refers to.
 
-    None when it reads or replaces the table itself or the whole document.
+    None if a pointer is invalid or refers to the whole table or document.
     """
     touched: set[str] = set()
     for operation in operations:
@@ -99,7 +99,10 @@
     document: dict[str, Any],
     operations: Operations,
 ) -> Result[Configuration, Errors]:
-    """Patch a document of our own in place and validate it."""
+    """Patch `document` in place and return the validated configuration.
+
+    Fails with the error of the patch or all errors of the validation.
+    """
     errors = Errors()
     try:
         patched = jsonpatch.JsonPatch(
@@ -115,7 +118,7 @@
     configuration: Configuration,
     operations: Operations,
 ) -> Result[Configuration, Errors]:
-    """Patch the document as a whole."""
+    """Apply a patch to the whole document."""
     return patch_document(configuration.model_dump(mode='json'), operations)
 
 
@@ -124,7 +127,10 @@
     operations: Operations,
     touched: set[str],
 ) -> Result[Configuration, Errors]:
-    """Patch a document that has only the touched organisations."""
+    """Apply a patch to a document with only the touched organisations.
+
+    The other organisations are added to the result unchanged.
+    """
     present = configuration.organisations
     part = configuration.model_copy(
         update={
@@ -146,7 +152,7 @@
     patched: Mapping[str, T],
     touched: set[str],
 ) -> dict[str, T]:
-    """Return a table whose touched entries are as patched.
+    """Return `present` with its touched entries taken from `patched`.
 
     >>> merge_table({'a': 1, 'b': 2}, {'a': 3, 'c': 4}, {'a', 'c'})
     {'a': 3, 'b': 2, 'c': 4}
@@ -163,7 +169,7 @@
     configuration: Configuration,
     packed_patches: Sequence[bytes],
 ) -> Configuration | None:
-    """Apply accepted patches in order; None if one does not apply."""
+    """Apply accepted patches in order; None if one can't be applied."""
     for packed in packed_patches:
         try:
             outcome = apply_patch(configuration, unpack_operations(packed))
@@ -176,14 +182,14 @@
 
 
 def pack_operations(operations: Operations) -> bytes:
-    """Return the compressed form that the history keeps."""
+    """Return the compressed form that the history stores."""
     plain = [dict(operation) for operation in operations]
     text = json.dumps(plain, separators=(',', ':'), sort_keys=True)
     return zlib.compress(text.encode())
 
 
 def unpack_operations(raw: bytes) -> list[dict[str, Any]]:
-    """Return the operations of a packed patch; none if not kept."""
+    """Return the operations of a packed patch; empty if dropped."""
     if not raw:
         return []
     operations: list[dict[str, Any]] = json.loads(zlib.decompress(raw))
@@ -191,7 +197,7 @@
 
 
 def patch_digest(base_version: int, operations: Operations) -> str:
-    """Return a digest that tells two patches with one id apart."""
+    """Return a digest that distinguishes patches with the same id."""
     plain = [dict(operation) for operation in operations]
     text = json.dumps([base_version, plain], sort_keys=True)
     return hashlib.sha256(text.encode()).hexdigest()[:DIGEST_CHARS]
--- a/src/quetzaldyke/version/placement.py
+++ b/src/quetzaldyke/version/placement.py
@@ -1,8 +1,8 @@
-"""What every endpoint should serve: the plan, without its execution.
+"""Plans which pool each endpoint serves; sends no orders itself.
 
 A pool with a `replicas` count gets that many endpoints. An endpoint serves
-its own pool's model unless it is assigned to another pool that lacks
-replicas while its own has more than it needs.
+its own pool's model unless it is assigned to another pool that is short of
+replicas while its own pool has a surplus.
 """
 
 from __future__ import annotations
@@ -16,19 +16,21 @@
 
 from quetzaldyke.version.configuration import Configuration, Pool
 
-# A shortage must last this long before an endpoint is moved: a restarted
-# engine is back within it, and a load takes as long as several restarts.
+# How long a shortage must last before an endpoint is moved. A restarted
+# engine is back within this time, and loading a model takes as long as
+# several restarts.
 MIN_SHORTAGE_MS: Final = 30_000
-# An endpoint that was moved stays for this long, unless its own pool lacks
-# replicas.
+# Minimum time that an endpoint stays after a move, unless its own pool is
+# short of replicas.
 MIN_STAY_MS: Final = 300_000
-# A load that was not seen to end counts against the limit for this long.
+# A load whose end was not observed counts against the load limit for this
+# long.
 LOAD_TIMEOUT_MS: Final = 900_000
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """What is known of one endpoint."""
+    """Last reported state of one endpoint."""
 
     instance: str
     pool: str
@@ -40,20 +42,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """Contents of the value `placement`."""
+    """Stored value of the key `placement`."""
 
-    # Rises with each change of the giver; the fencing token of its orders.
+    # Incremented by each new leader; the fencing token of its orders.
     epoch: int = 0
     leader: str = ''
-    # Endpoints that serve another pool than their own.
+    # Assigned pool of each endpoint that serves another pool than its own.
     assigned: Mapping[str, str] = field(default_factory=dict)
     moved_ms: Mapping[str, int] = field(default_factory=dict)
-    # Endpoints that load now, by the time the load was first ordered.
+    # Time at which the load was first ordered, for each loading endpoint.
     loads: Mapping[str, int] = field(default_factory=dict)
 
     @classmethod
     def unpack(cls, payload: bytes) -> Placement:
-        """Decode a stored payload; an empty one has epoch 0."""
+        """Decode a stored payload; an empty one gives epoch 0."""
         return cls(*msgpack.unpackb(payload)) if payload else cls()
 
     def pack(self) -> bytes:
@@ -74,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """Decision to let an endpoint serve another pool."""
+    """Reassignment of an endpoint to another pool."""
 
     instance: str
     from_pool: str
@@ -82,7 +84,7 @@
 
 
 def managed_pools(configuration: Configuration) -> dict[str, Pool]:
-    """Return the pools whose endpoints get orders."""
+    """Return the engine pools that have a replica count and a model."""
     return {
         name: pool
         for name, pool in configuration.pools.items()
@@ -91,9 +93,9 @@
 
 
 def serves_pool(endpoint: Endpoint, pool: Pool) -> bool:
-    """Tell whether an endpoint serves what the pool asks for.
+    """Tell whether an endpoint has loaded what the pool specifies.
 
-    A version or adapter that the pool leaves open is not compared.
+    A version or adapter that the pool leaves empty is not compared.
     """
     wanted = (pool.model, pool.version, pool.adapter)
     loaded = (endpoint.model, endpoint.version, endpoint.adapter)
@@ -108,7 +110,10 @@
     pools: Mapping[str, Pool],
     endpoints: Sequence[Endpoint],
 ) -> list[Endpoint]:
-    """Return the endpoints that need an order, loading ones included."""
+    """Return the endpoints that are up but don't serve their pool.
+
+    Endpoints whose load is in progress are included.
+    """
     return [
         endpoint
         for endpoint in endpoints
@@ -123,7 +128,7 @@
     pools: Mapping[str, Pool],
     endpoints: Sequence[Endpoint],
 ) -> dict[str, int]:
-    """Return by how many endpoints each pool exceeds its count."""
+    """Return the endpoints of each pool that are up, minus its replicas."""
     counts = Counter(
         placement.pool_of(endpoint) for endpoint in endpoints if endpoint.up
     )
@@ -132,12 +137,15 @@
 
 @dataclass(slots=True)
 class ShortageTracker:
-    """Since when each pool has lacked endpoints that another could give."""
+    """Records since when each pool has been short of endpoints.
+
+    A shortage counts only while another pool has a surplus.
+    """
 
     since_ms: dict[str, int] = field(default_factory=dict)
 
     def lasting(self, surplus: Mapping[str, int], now_ms: int) -> list[str]:
-        """Return the pools whose shortage has lasted, the worst first.
+        """Return the pools short for MIN_SHORTAGE_MS, the worst first.
 
         >>> shortages = ShortageTracker()
         >>> shortages.lasting({'a': -1, 'b': 2}, 0)
@@ -171,8 +179,8 @@
 ) -> Move | None:
     """Return the next move, or None when nothing should move.
 
-    Only a pool with more endpoints than its count gives one, so a move
-    never makes a shortage and no move is undone by the next.
+    An endpoint is taken only from a pool that has more than its count, so
+    a move never causes a shortage and is not reversed by the next one.
     """
     surplus = surplus_by_pool(placement, pools, endpoints)
     for short_pool in shortages.lasting(surplus, now_ms):
@@ -183,7 +191,7 @@
             and surplus.get(placement.pool_of(endpoint), 0) > 0
             and may_move(placement, endpoint, short_pool, now_ms)
         ]
-        # An endpoint that returns to its own pool goes first.
+        # Prefer an endpoint that returns to its own pool.
         returning = [
             endpoint for endpoint in candidates if endpoint.pool == short_pool
         ]
@@ -198,7 +206,11 @@
     short_pool: str,
     now_ms: int,
 ) -> bool:
-    """Tell whether an endpoint may move now."""
+    """Tell whether an endpoint may move to `short_pool` now.
+
+    A loading endpoint may not. A return to the endpoint's own pool is
+    allowed before MIN_STAY_MS has passed.
+    """
     if endpoint.instance in placement.loads:
         return False
     if endpoint.pool == short_pool:
@@ -208,7 +220,7 @@
 
 
 def apply_move(placement: Placement, move: Move, own_pool: str) -> Placement:
-    """Return the assignment after a move; `moved_ms` is set by the caller."""
+    """Return the placement after a move; the caller sets `moved_ms`."""
     assigned = dict(placement.assigned)
     if move.to_pool == own_pool:
         assigned.pop(move.instance, None)
@@ -230,7 +242,11 @@
     refused: set[str],
     now_ms: int,
 ) -> set[str]:
-    """Return the loads that no longer use the weight store."""
+    """Return the endpoints whose load no longer uses the weight store.
+
+    A load ends when it is refused or done, when it exceeds
+    LOAD_TIMEOUT_MS, or when its pool is no longer in `pools`.
+    """
     by_name = {endpoint.instance: endpoint for endpoint in endpoints}
     ended = set(refused)
     for name, started_ms in placement.loads.items():
--- a/src/quetzaldyke/version/placement_controller.py
+++ b/src/quetzaldyke/version/placement_controller.py
@@ -1,10 +1,10 @@
-"""The one entry that gives orders to engines.
+"""Places models on endpoints and orders loads, from one elected entry.
 
-Which entry gives orders follows from rank; that only one's orders take
-effect follows from the epoch. Every order needs a nonce of the sidecar and,
-after that, a look at the stored epoch. A giver that was paused at any point
-either sees the new epoch, or its nonce has expired, or its token is below
-the one that the sidecar has seen.
+Rank selects the entry that leads; the epoch ensures that only one leader's
+orders take effect. For every order the leader first requests a nonce from
+the sidecar and then checks the stored epoch. A leader that was paused at any
+point either reads the new epoch, or its nonce has expired, or its token is
+below the highest one that the sidecar has seen.
 """
 
 from __future__ import annotations
@@ -43,10 +43,11 @@
 PLACEMENT_KEY: Final = 'placement'
 RANK_KEY: Final = 'placement'
 RECONCILE_INTERVAL_S: Final = 2.0
-# Two entries with different instance lists may both rank first. The one
-# that lost the epoch waits, so that they don't take it from each other.
+# Two entries with different instance lists may both rank first. The one that
+# lost the epoch waits this long before it claims it again, so that the two
+# don't keep taking it from each other.
 RECLAIM_DELAY_MS: Final = 10_000
-# A load of an earlier giver is ordered again after this time.
+# A load that an earlier leader ordered is ordered again after this time.
 INHERITED_LOAD_TIMEOUT_MS: Final = 120_000
 
 DeclineReason = Literal['epoch', 'full', 'same']
@@ -54,7 +55,7 @@
 
 @dataclass(slots=True)
 class PlacementController:
-    """State of one entry's part in giving orders."""
+    """Reconciles the endpoints with the placement while this entry leads."""
 
     store: KeyValueStore
     holder: ConfigHolder
@@ -64,38 +65,42 @@
     reports: EndpointReports
     calls: OrderCalls
     read_wall_ms: Callable[[], int] = wall_clock_ms
-    # The epoch under which this entry gives orders; 0 when it does not.
+    # Epoch that this entry holds as leader; 0 while it does not lead.
     epoch: int = 0
     epoch_lost_ms: int = -RECLAIM_DELAY_MS
     shortages: ShortageTracker = field(default_factory=ShortageTracker)
-    # Endpoints with an order under way, and those that refused theirs.
+    # Endpoints with an order in progress, and those that refused their order.
     in_progress: set[str] = field(default_factory=set)
     refused: set[str] = field(default_factory=set)
     refusal_counts: Counter[str] = field(default_factory=Counter)
-    # Endpoints that were ordered under the present epoch.
+    # Endpoints that were sent an order under the current epoch.
     ordered_in_epoch: set[str] = field(default_factory=set)
 
     def subscribe(self) -> None:
-        """Take part in the fleet's messages."""
+        """Subscribe to order replies and endpoint reports."""
         self.calls.subscribe()
         self.reports.subscribe()
 
     def ranks_first(self) -> bool:
-        """Tell whether this entry should give orders."""
+        """Tell whether this entry ranks first among the live entries."""
         return (
             first_for(self.fleet.live_entries(), RANK_KEY)
             == self.fleet.own.instance
         )
 
     def step_down(self) -> None:
-        """Stop giving orders after another entry took the epoch."""
+        """Stop leading after another entry claimed the epoch."""
         if self.epoch:
             self.log_event('placement_lost', epoch=self.epoch)
         self.epoch = 0
         self.epoch_lost_ms = self.read_wall_ms()
 
     async def reconcile(self) -> None:
-        """Compare the desired with the reported state and give orders."""
+        """Compare desired and reported state and order the missing loads.
+
+        Does nothing on an entry that doesn't rank first or can't claim the
+        epoch.
+        """
         if not self.ranks_first():
             self.epoch = 0
             return
@@ -110,7 +115,7 @@
         self.start_load_orders(updated.ok_value)
 
     async def claim_epoch(self) -> bool:
-        """Take the next epoch."""
+        """Claim the next epoch; False after a recent loss or a failed write."""
         if self.read_wall_ms() - self.epoch_lost_ms < RECLAIM_DELAY_MS:
             return False
         own = self.fleet.own.instance
@@ -129,7 +134,10 @@
         self,
         decide: Callable[[Placement], Placement | Refused[DeclineReason]],
     ) -> Result[Placement, KvError | Refused[DeclineReason]]:
-        """Change the stored placement."""
+        """Store the placement that `decide` returns for the stored one.
+
+        Fails if `decide` refuses or the store can't be updated.
+        """
 
         def apply(payload: bytes) -> bytes | Refused[DeclineReason]:
             decided = decide(Placement.unpack(payload))
@@ -142,7 +150,10 @@
         self,
         decide: Callable[[Placement], Placement | Refused[DeclineReason]],
     ) -> Result[Placement, KvError | Refused[DeclineReason]]:
-        """Change the stored placement unless another took the epoch."""
+        """Update the placement if this entry still holds the epoch.
+
+        Otherwise refuses with `epoch` and steps down.
+        """
         epoch = self.epoch
 
         def guarded(now: Placement) -> Placement | Refused[DeclineReason]:
@@ -158,11 +169,11 @@
     async def store_plan(
         self,
     ) -> Result[Placement, KvError | Refused[DeclineReason]]:
-        """Store ended loads and the next move; read the present value."""
+        """Store ended loads and the next move; return the placement."""
         now_ms = self.read_wall_ms()
         pools = managed_pools(self.holder.current)
         endpoints = self.reports.endpoints()
-        # Endpoints that were never looked at would pass for missing ones.
+        # Endpoints that were never polled would count as missing.
         all_polled = self.reports.all_polled(pools)
         unchanged: list[Placement] = []
         moves: list[Move] = []
@@ -203,7 +214,7 @@
         return outcome
 
     def start_load_orders(self, placement: Placement) -> None:
-        """Start orders for endpoints that don't serve what they should."""
+        """Start load orders for misplaced endpoints, up to the load limit."""
         configuration = self.holder.current
         pools = managed_pools(configuration)
         waiting = [
@@ -219,8 +230,8 @@
             if endpoint.instance in placement.loads
             and not self.is_inherited_load(endpoint.instance, placement)
         ]
-        # Endpoints that refuse every order go last, or they would take the
-        # places of the others again and again.
+        # Endpoints that refuse every order go last; otherwise they would take
+        # the load slots from the others in every round.
         fresh = sorted(
             (
                 endpoint
@@ -237,7 +248,7 @@
             self.group.start_soon(self.order_load, endpoint.instance, pool)
 
     def is_inherited_load(self, name: str, placement: Placement) -> bool:
-        """Tell whether an earlier giver's load may still be running.
+        """Tell whether an earlier leader's load may still be running.
 
         Ordering it again at once would load the weights twice.
         """
@@ -248,7 +259,7 @@
         )
 
     async def order_load(self, instance: str, pool: Pool) -> None:
-        """Give one load order, over a connection for it if needed."""
+        """Send one load order, on a temporary connection if needed."""
         try:
             async with anyio.create_task_group() as group:
                 session = await self.reports.session_to(instance, group)
@@ -259,7 +270,10 @@
             self.in_progress.discard(instance)
 
     async def send_load_order(self, session: PeerSession, pool: Pool) -> None:
-        """Ask for a nonce, check the epoch, order, and await the outcome."""
+        """Request a nonce, reserve the load, send the order, await the result.
+
+        Sends no order without a nonce, a free load slot and the epoch.
+        """
         instance = session.remote.instance
         order_id = self.calls.new_order_id()
         try:
@@ -283,7 +297,7 @@
             self.calls.forget(order_id)
 
     def handle_result(self, instance: str, outcome: OrderResult | None) -> None:
-        """Free the place of a load that was refused."""
+        """Record a refusal, which frees its load slot in the next round."""
         if outcome is None or outcome.accepted:
             return
         self.refused.add(instance)
@@ -296,9 +310,9 @@
         )
 
     async def reserve_load(self, instance: str) -> bool:
-        """Take a place among the loads; False without one or the epoch.
+        """Reserve a load slot; False if none is free or the epoch was lost.
 
-        This reads the stored epoch after the nonce was made.
+        This checks the stored epoch and must run after the nonce was issued.
         """
         limit = self.holder.current.weight_store.concurrent_loads
         now_ms = self.read_wall_ms()
--- a/src/quetzaldyke/version/rollout.py
+++ b/src/quetzaldyke/version/rollout.py
@@ -1,8 +1,9 @@
 """Waits until every live process has reported a configuration version.
 
-No entry is connected to all sidecars, so the entry that was asked asks all
-entries. Each answers once its own peers have the version, with a mark for
-each of them; the asker compares the marks with the instance list.
+No entry is connected to all sidecars, so the entry that waits queries all
+entries. Each replies once its own peers have the version, with a hash of the
+name of each of them; the entry that waits compares the hashes with the
+instance list.
 """
 
 from __future__ import annotations
@@ -24,18 +25,18 @@
 
 HASH_BYTES: Final = 8
 MS_IN_S: Final = 1000
-# Answers of entries take this long to come after their own time-out.
+# Time for the replies that entries send at their own time-out to arrive.
 REPLY_MARGIN_S: Final = 0.5
 ENTRY_TIMEOUT_RATIO: Final = 0.8
 
 
 def hash_of(instance: str) -> bytes:
-    """Return the mark of a process."""
+    """Return the hash that stands for a process in replies."""
     return hashlib.blake2b(instance.encode(), digest_size=HASH_BYTES).digest()
 
 
 def split_hashes(joined: bytes) -> set[bytes]:
-    """Return the marks in an answer.
+    """Return the hashes that a reply joins.
 
     >>> len(split_hashes(hash_of('a') + hash_of('b')))
     2
@@ -46,7 +47,7 @@
 
 @dataclass(slots=True)
 class PendingQuery:
-    """One query under way."""
+    """Hashes received so far for one query."""
 
     hashes: set[bytes] = field(default_factory=set)
     changed: anyio.Event = field(default_factory=anyio.Event)
@@ -54,7 +55,7 @@
 
 @dataclass(slots=True)
 class RolloutMonitor:
-    """Asks and answers queries for versions."""
+    """Sends and answers queries about the processes with a version."""
 
     fleet: Fleet
     exchange: ConfigExchange
@@ -66,7 +67,7 @@
     reply_tasks: anyio.abc.TaskGroup | None = None
 
     def subscribe(self) -> None:
-        """Take part in the fleet's messages, after the exchange."""
+        """Subscribe to reports and queries, after the exchange has."""
         self.fleet.subscribe(ConfigVersion, self.on_report)
         self.fleet.subscribe(Heartbeat, self.on_report)
         self.fleet.subscribe(VersionQuery, self.on_query)
@@ -74,21 +75,21 @@
         self.exchange.holder.on_change(lambda *_: self.notify())
 
     async def on_report(self, session: PeerSession, message: Message) -> None:
-        """Wake whoever waits for reports."""
+        """Wake the tasks that wait for a report."""
         self.notify()
 
     def notify(self) -> None:
-        """Wake whoever waits for reports."""
+        """Wake the tasks that wait for a report."""
         self.reported.set()
         self.reported = anyio.Event()
 
     async def on_query(self, session: PeerSession, query: Message) -> None:
-        """Answer a query once our peers have the version, or in time."""
+        """Start to answer a query; ignore it while `run` is not active."""
         if isinstance(query, VersionQuery) and self.reply_tasks is not None:
             self.reply_tasks.start_soon(self.answer, session, query)
 
     async def on_reply(self, session: PeerSession, reply: Message) -> None:
-        """Add an answer to its query."""
+        """Add the hashes of a reply to its query, if that is in progress."""
         if not isinstance(reply, VersionReply):
             return
         pending = self.queries.get(reply.query_id)
@@ -104,7 +105,7 @@
             await anyio.sleep_forever()
 
     async def answer(self, session: PeerSession, query: VersionQuery) -> None:
-        """Wait for our own peers, then tell who has the version."""
+        """Reply once our own peers have the version, or at the time-out."""
         with anyio.move_on_after(query.timeout_ms / MS_IN_S):
             while not self.peers_have(query.version):
                 await self.reported.wait()
@@ -112,7 +113,10 @@
         session.send(VersionReply(query.query_id, b''.join(hashes)))
 
     def reported_version(self, instance: str) -> int | None:
-        """Return the version that a process last reported."""
+        """Return the version that a process last reported.
+
+        None if it is not connected to this entry.
+        """
         if instance == self.fleet.own.instance:
             return self.exchange.holder.version
         return self.exchange.reported_version(instance)
@@ -123,7 +127,7 @@
         return reached.issuperset((self.fleet.own.instance, *self.fleet.links))
 
     def reached(self, version: int) -> list[str]:
-        """Return the processes known here to have a version."""
+        """Return the processes known to this entry to have a version."""
         names = [
             peer.session.remote.instance
             for peer in self.exchange.open_peers()
@@ -142,7 +146,7 @@
             row.instance
             for row in listed
             if hash_of(row.instance) not in known
-            # A process that is leaving counts while it is connected.
+            # A process that is leaving counts only while it is connected.
             and (not row.leaving or row.instance in connected)
         )
 
@@ -151,7 +155,10 @@
         version: int,
         timeout_s: float,
     ) -> list[str]:
-        """Return the processes that lack a version at the time-out."""
+        """Return the live processes that lack a version at the time-out.
+
+        Returns an empty list as soon as none does.
+        """
         query_id = next(self.query_ids)
         pending = PendingQuery()
         self.queries[query_id] = pending
@@ -166,7 +173,7 @@
     def query_entries(
         self, query_id: int, version: int, timeout_s: float
     ) -> None:
-        """Ask every connected entry."""
+        """Query every connected entry, with a time-out before our own."""
         entry_timeout_s = max(
             timeout_s - REPLY_MARGIN_S, timeout_s * ENTRY_TIMEOUT_RATIO
         )
@@ -186,6 +193,6 @@
 
 
 async def cancel_when_set(event: anyio.Event, scope: anyio.CancelScope) -> None:
-    """Cancel a scope once an event happened."""
+    """Cancel a scope once an event is set."""
     await event.wait()
     scope.cancel()
--- a/src/quetzaldyke/version/store.py
+++ b/src/quetzaldyke/version/store.py
@@ -1,8 +1,8 @@
-"""The one value that holds the configuration in the key-value service.
+"""Stores the configuration in one value of the key-value service.
 
-It has the version, the packed document and the latest patches with their
-ids. A patch names the version that it was made against; since the version
-rises by one with each patch, at most one patch is accepted on each version.
+The value has the version, the packed document and the latest patches with
+their ids. A patch names the version that it was made against; since each
+patch raises the version by one, at most one is accepted for each version.
 """
 
 from __future__ import annotations
@@ -36,17 +36,17 @@
 
 CONFIG_KEY: Final = 'config'
 KEPT_PATCHES: Final = 64
-# Room for the document within the limit of a value; the operations of the
-# oldest patches are dropped beyond it, their ids stay.
+# Leaves space for the document within the size limit of a value. Beyond it,
+# the operations of the oldest patches are dropped; their ids stay.
 KEPT_OPERATION_BYTES: Final = 131_072
 MAX_SUBMIT_TRIES: Final = 5
 SUBMIT_RETRY_PAUSE_S: Final = 0.05
 
 PatchErrorKind = Literal[
     'stale',  # made against another version
-    'invalid',  # does not apply, or the outcome is not valid
-    'reused',  # the id belongs to an accepted patch of other content
-    'too_old',  # base older than the history: an earlier send may be in
+    'invalid',  # can't be applied, or the result is not valid
+    'reused',  # the id belongs to an accepted patch with other content
+    'too_old',  # base before the history; may have been accepted earlier
     'too_large',
     'unavailable',  # not accepted by this send; nothing was read
     'unknown',  # may have been accepted; send the same id again
@@ -65,7 +65,7 @@
 
     @property
     def operations(self) -> list[dict[str, Any]]:
-        """Return the operations, or none when they were dropped."""
+        """Return the operations; empty if they were dropped."""
         return unpack_operations(self.packed_operations)
 
     def as_row(self) -> list[object]:
@@ -81,12 +81,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """Contents of the value."""
+    """Stored value: the latest version and the patches that led to it."""
 
     version: int = 0
     document: bytes = b''
     patches: tuple[AppliedPatch, ...] = ()
-    # Of the document, so that a replay of patches can be checked.
+    # Digest of the document, to check a replay of patches against.
     digest: str = ''
 
     @classmethod
@@ -110,7 +110,7 @@
         return unpack_document(self.document) if self.document else EMPTY
 
     def find(self, patch_id: str) -> AppliedPatch | None:
-        """Return the accepted patch of an id."""
+        """Return the accepted patch of an id; None if not in the history."""
         for patch in self.patches:
             if patch.patch_id == patch_id:
                 return patch
@@ -122,7 +122,7 @@
         return base_version >= oldest
 
     def patches_since(self, version: int) -> list[AppliedPatch] | None:
-        """Return the patches after a version; None if any is not kept."""
+        """Return the patches after a version; None if any was dropped."""
         later = [patch for patch in self.patches if patch.version > version]
         complete = len(later) == self.version - version
         if not complete or any(not patch.packed_operations for patch in later):
@@ -132,17 +132,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """A patch that is certainly in the history."""
+    """Result for a patch that was certainly accepted."""
 
     version: int
-    # The value as it was read; it may be later than the patch's version.
+    # The value as it was read; its version may be later than the patch's.
     head: Head
     repeated: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class PatchError:
-    """A patch that was not accepted, or not known to be."""
+    """Result for a patch that was not accepted, or not known to be."""
 
     kind: PatchErrorKind
     detail: str = ''
@@ -160,12 +160,12 @@
 
     @property
     def digest(self) -> str:
-        """Return the digest of the content."""
+        """Return the digest of the base version and the operations."""
         return patch_digest(self.base_version, self.operations)
 
 
 async def read_head(store: KeyValueStore) -> Result[Head, KvError]:
-    """Read the value; an absent one is version 0."""
+    """Read the stored value; an absent one is version 0."""
     answer = await read(store, CONFIG_KEY)
     return answer.map(lambda stored: Head.unpack(stored.payload))
 
@@ -178,18 +178,18 @@
     read_wall_ms: Callable[[], int] = wall_clock_ms,
     decoded: tuple[int, Configuration] = (0, EMPTY),
 ) -> Result[Accepted, PatchError]:
-    """Accept a patch against a version, once for each patch id.
+    """Submit a patch against a version; each patch id is accepted once.
 
     `decoded` is a version with its configuration, which then need not be
     decoded again; with 5,600 organisations that takes 18 ms.
 
-    The history settles a lost answer: when it reaches back to the base
-    version, the patch is either in it or can no longer be accepted.
+    After a lost reply the history shows the outcome: if it reaches back to
+    the base version, the patch is in it or can no longer be accepted.
     """
     patch = Patch(patch_id, base_version, operations)
     announced = await write_version_hint(store, base_version + 1)
     if isinstance(announced, Err):
-        # Nothing was written to `config` yet, so the patch is not in.
+        # Nothing was written to `config` yet, so the patch is not accepted.
         return Err(PatchError('unavailable', announced.err_value.detail))
     outcome: Result[Accepted, PatchError] = Err(PatchError('unavailable'))
     uncertain = False
@@ -205,7 +205,7 @@
 
 
 def mark_uncertain(error: PatchError) -> PatchError:
-    """Return what may be said after an earlier try may have been applied."""
+    """Return an error that allows for an earlier try that succeeded."""
     if error.kind == 'unavailable':
         return replace(error, kind='unknown')
     return error
@@ -217,7 +217,7 @@
     read_wall_ms: Callable[[], int],
     decoded: tuple[int, Configuration],
 ) -> Result[Accepted, PatchError]:
-    """Try one swap; its answer may be `unknown`."""
+    """Try one swap; fails with `unknown` if its outcome is not known."""
 
     def change(payload: bytes) -> bytes | Refused[Accepted | PatchError]:
         return decide(Head.unpack(payload), patch, read_wall_ms(), decoded)
@@ -239,10 +239,10 @@
 
 
 def accepted_answer(head: Head, patch: Patch) -> Result[Accepted, PatchError]:
-    """Return the answer for a patch that was written."""
+    """Return the result for a patch that was written."""
     found = head.find(patch.patch_id)
     if found is None:
-        # More than KEPT_PATCHES later patches came before the read-back.
+        # KEPT_PATCHES or more patches were accepted before the read-back.
         return Err(PatchError('unknown', 'no longer in the history', head))
     return Ok(Accepted(found.version, head))
 
@@ -253,7 +253,7 @@
     now_ms: int,
     decoded: tuple[int, Configuration] = (0, EMPTY),
 ) -> bytes | Refused[Accepted | PatchError]:
-    """Return the new payload, or why the patch is not applied now."""
+    """Return the new payload, or the result if nothing is to be written."""
     earlier = head.find(patch.patch_id)
     if earlier is not None:
         return Refused(answer_resend(head, earlier, patch))
@@ -277,7 +277,7 @@
     earlier: AppliedPatch,
     patch: Patch,
 ) -> Accepted | PatchError:
-    """Return the answer that the first send of a patch id had."""
+    """Return the result for a patch id that is already in the history."""
     if earlier.digest != patch.digest:
         return PatchError('reused', f'accepted as version {earlier.version}')
     return Accepted(earlier.version, head, repeated=True)
--- a/src/quetzaldyke/version/version_hint.py
+++ b/src/quetzaldyke/version/version_hint.py
@@ -1,10 +1,10 @@
-"""A small value that says which version may exist by now.
+"""Stores a hint of the highest configuration version that may exist.
 
-Entries read it every few seconds instead of `config`: at the target size
-the configuration takes 255 KB, which would be 64 KB/s for each entry. It is
-written before a patch, so that no accepted version can be missed when the
+Entries poll this small value instead of `config`: at the target size the
+configuration takes 255 KB, which would be 64 KB/s for each entry. The hint
+is written before a patch, so that no accepted version is missed when the
 writer dies in between. It may be one version too high when the patch then
-fails; readers look at `config` a few times for each change of it.
+fails; readers therefore read `config` only a few times for each change.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 )
 
 VERSION_HINT_KEY: Final = 'latest_config'
-# Reads of `config` for one change of the hint. A write that was under way
-# when the hint was read is seen by the second one, 4 s later.
+# Reads of `config` for one change of the hint. A write that was in progress
+# when the hint was read is seen by the second read, 4 s later.
 READS_PER_HINT_CHANGE: Final = 3
 MAX_TRIES: Final = 3
-# `config` is read all the same once in so many polls (a minute), in case it
-# was written by other means.
+# Every this many polls (once a minute) `config` is read whatever the hint
+# says, in case it was written without one.
 FULL_READ_POLLS: Final = 15
 
 
 def parse_version(payload: bytes) -> int:
-    """Return the version in the value.
+    """Return the version in a stored hint; 0 if it is empty.
 
     >>> parse_version(b''), parse_version(b'12')
     (0, 12)
@@ -47,7 +47,10 @@
     store: KeyValueStore,
     version: int,
 ) -> Result[Stored, KvError]:
-    """Say that a version may exist soon; always changes the revision."""
+    """Raise the hint to `version`; always changes its revision.
+
+    A higher version that is stored stays.
+    """
 
     def change(payload: bytes) -> bytes:
         return str(max(version, parse_version(payload))).encode()
@@ -59,28 +62,31 @@
             change,
         )
         written = outcome.map_err(as_kv_error)
-        # Writing the same version twice does no harm.
+        # A retry is safe: writing the same version twice does no harm.
         if written.is_ok() or written.unwrap_err().kind != 'unknown':
             break
     return written
 
 
 def as_kv_error(failure: KvError | Refused[None]) -> KvError:
-    """Return the failure of a swap that never declines."""
+    """Return the failure of a swap whose change function never refuses."""
     assert isinstance(failure, KvError)
     return failure
 
 
 @dataclass(slots=True)
 class VersionHintReader:
-    """Decides when `config` has to be read."""
+    """Decides from the hint when `config` has to be read."""
 
     seen_revision: int = 0
     reads_left: int = 0
     polls: int = 0
 
     async def should_read(self, store: KeyValueStore, version: int) -> bool:
-        """Tell whether a version above `version` may exist."""
+        """Tell whether a version above `version` may exist.
+
+        False if the hint can't be read.
+        """
         answer = await read(store, VERSION_HINT_KEY)
         if isinstance(answer, Err):
             return False
--- a/tests/test_patches.py
+++ b/tests/test_patches.py
@@ -1,4 +1,4 @@
-"""Tests of configuration patches: racing operators, lost answers, resends."""
+"""Tests of configuration patches: races, lost replies and resends."""
 
 from __future__ import annotations
 
@@ -59,9 +59,9 @@
 
 @dataclass
 class FaultyStore:
-    """Store in memory with lost, late and dropped writes.
+    """In-memory store that injects lost, late and dropped writes.
 
-    A late write answers `unknown` and is applied at some later time, if the
+    A late write returns `unknown` and is applied at some later time, if the
     key still has the revision that it was made for.
     """
 
@@ -74,7 +74,7 @@
     heads: list[Head] = field(default_factory=list)
 
     async def pause(self) -> str:
-        """Let others run and return the fault of this call."""
+        """Yield to other tasks; return the fault of this call."""
         for _ in range(self.draw.randrange(4)):
             await anyio.lowlevel.checkpoint()
         if self.late and self.draw.random() < 0.3:
@@ -90,7 +90,7 @@
     async def put_if(
         self, key: str, value: bytes, revision: int, lease_id: int = 0
     ) -> Result[int, KvError]:
-        """Write with the fault that is next."""
+        """Write if the revision matches, with the next fault."""
 
         def apply() -> bool:
             present = self.records.get(key)
@@ -115,7 +115,7 @@
         return Ok(self.revision) if done else Err(KvError('conflict'))
 
     def note_head(self, raw: bytes) -> None:
-        """Check and remember a new value of `config`."""
+        """Check and record a new value of `config`."""
         head = Head.unpack(Envelope.unpack(raw).payload)
         last = self.heads[-1].version if self.heads else 0
         assert head.version == last + 1
@@ -134,7 +134,7 @@
 
 
 class PatchMachine(RuleBasedStateMachine):
-    """Operators that race, lose answers and send again."""
+    """Operators that race, lose replies and send patches again."""
 
     @initialize(seed=st.integers(0, 2**16))
     def start(self, seed: int) -> None:
@@ -151,7 +151,7 @@
         faults=st.lists(st.sampled_from(FAULTS), max_size=12),
     )
     def race(self, bases: list[int], faults: list[str]) -> None:
-        """Several operators patch at once, some against older versions."""
+        """Submit patches at once, some against older versions."""
         self.store.faults = list(faults)
         now = len(self.store.heads)
         names = []
@@ -167,7 +167,7 @@
         faults=st.lists(st.sampled_from(FAULTS), max_size=8),
     )
     def resend(self, picks: list[int], faults: list[str]) -> None:
-        """Operators send recent patches again, also at the same time."""
+        """Send recent patches again, also at the same time."""
         self.store.faults = list(faults)
         recent = list(self.sent)[-10:]
         if recent:
@@ -175,7 +175,7 @@
 
     @rule(count=st.integers(30, 70))
     def many(self, count: int) -> None:
-        """Push earlier patches out of the windows of ids."""
+        """Submit enough patches to evict earlier ids from the history."""
         self.store.faults = []
         now = len(self.store.heads)
         names = []
@@ -188,12 +188,12 @@
 
     @rule()
     def flush(self) -> None:
-        """Late writes arrive."""
+        """Apply all late writes."""
         while self.store.late:
             self.store.late.pop()()
 
     def submit(self, names: list[str], limit: int = 10) -> None:
-        """Send patches, so many at a time, and note the answers."""
+        """Send patches, `limit` at a time, and record the results."""
         self.unavailable -= set(names)
 
         async def one(name: str, limiter: anyio.CapacityLimiter) -> None:
@@ -226,7 +226,7 @@
 
     @invariant()
     def answers_are_true(self) -> None:
-        """Check every answer against all versions that ever were."""
+        """Check every result against all versions ever stored."""
         ids = self.store.accepted_ids()
         assert len(ids) == len(set(ids))
         assert not self.unavailable & set(ids)
@@ -238,7 +238,7 @@
                     assert name not in ids
 
     def teardown(self) -> None:
-        """Late writes must not make a refusal untrue."""
+        """Check that late writes don't contradict a refusal."""
         if hasattr(self, 'store'):
             self.flush()
             self.answers_are_true()
@@ -309,7 +309,7 @@
 
 @pytest.mark.parametrize('version', [0, 1, 3])
 def test_decoded_document_of_another_version_is_not_used(version: int) -> None:
-    """Guards against a patch that brings an older document back."""
+    """Guards against a patch that restores an older document."""
     patches = (Patch('p1', 0, set_tries(1)), Patch('p2', 1, set_tries(2)))
     payload = b''
     for patch in patches:
@@ -334,7 +334,7 @@
 
 
 def test_large_patches_leave_room_for_the_document() -> None:
-    """Guards against a history that fills the value's limit."""
+    """Guards against a history that fills the value's size limit."""
     faulty = FaultyStore()
     for number in range(4):
         names = [f'{number}-{one}' for one in range(1200)]
@@ -355,16 +355,16 @@
 @pytest.mark.parametrize(
     ('faults', 'kind', 'versions'),
     [
-        # The write is lost, then nothing can be read any more.
+        # The write is dropped and the store is down from then on.
         (['fine', 'fine', 'fine', 'dropped', *['down'] * 200], 'unknown', 0),
         (['fine', 'fine', 'fine', 'late', *['down'] * 200], 'unknown', 1),
         (['fine', 'fine', 'fine', 'lost', *['down'] * 200], 'unknown', 1),
         (['fine', 'fine', *['down'] * 200], 'unavailable', 0),
-        # The hint can't be written; the patch must not be.
+        # The hint can't be written, so the patch must not be either.
         (['down'] * 16, 'unavailable', 0),
     ],
 )
-def test_outages_are_told_truly(
+def test_outages_are_reported_truthfully(
     faults: list[str], kind: str, versions: int
 ) -> None:
     """Guards against "not accepted" when a write may still arrive."""
@@ -402,8 +402,8 @@
         return await super().get(key)
 
 
-def test_lost_answer_is_settled_by_the_history() -> None:
-    """Guards against `unknown` when the write ids were pushed out."""
+def test_lost_reply_is_resolved_from_the_history() -> None:
+    """Guards against `unknown` when the write ids were evicted."""
     busy = BusyStore(faults=['lost', 'fine', 'fine', 'fine'])
     with mock.patch.object(store_module, 'SUBMIT_RETRY_PAUSE_S', 0):
         answer = submit(busy, 0, 'p1', set_tries(3))
@@ -467,7 +467,7 @@
 def test_patched_part_equals_patched_whole(
     operations: list[dict[str, Any]],
 ) -> None:
-    """Guards against another outcome when only touched entries are patched."""
+    """Guards against a partial patch whose result differs from a full one."""
     copies = sum(one['op'] == 'copy' for one in operations)
     whole = patch_whole(BASE, operations)
     part = apply_patch(BASE, operations)
@@ -478,7 +478,7 @@
 
 @given(versions=st.lists(st.integers(0, 12), max_size=20))
 def test_holder_never_goes_back(versions: list[int]) -> None:
-    """Guards against a reverted version, whatever order pushes come in."""
+    """Guards against a reverted version when pushes arrive out of order."""
     holder = ConfigHolder()
     seen: list[int] = []
     holder.on_change(lambda version, _: seen.append(version))
@@ -506,7 +506,7 @@
 def test_deltas_are_checked(
     version: int, patches: list[Operations], digest: str, adopted: bool
 ) -> None:
-    """Guards against a delta that leads to a document of another version."""
+    """Guards against a delta whose result is another version's document."""
     holder = ConfigHolder()
     holder.adopt(1, pack_document(BASE))
     packed = [pack_operations(one) for one in patches]
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of placement: one giver, fencing, bounded loads, no flapping."""
+"""Tests of placement: one leader, fencing, bounded loads, no flapping."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 def two_pools(first: int, second: int, loads: int = 2) -> Configuration:
-    """Return a configuration with two engine pools."""
+    """Return a configuration with the engine pools `a` and `b`."""
     return Configuration.model_validate(
         {
             'pools': {
@@ -65,7 +65,7 @@
 
 @dataclass
 class Engine:
-    """A sidecar with its endpoint, as the givers see it."""
+    """Fake sidecar with its endpoint, as the controllers see it."""
 
     name: str
     pool: str
@@ -75,11 +75,11 @@
     gate: FencingGate = field(default_factory=lambda: FencingGate(Clock()))
     refusals: list[str] = field(default_factory=list)
     loaded: list[int] = field(default_factory=list)
-    # Orders are kept here instead of delivered while this is a list.
+    # While this is a list, orders are stored here instead of executed.
     held_orders: list[tuple[PlacementController, messages.Order]] | None = None
 
     def report(self) -> messages.Report:
-        """Return the present state."""
+        """Return a report of the current state."""
         return messages.Report(
             *(self.pool, True, False, 4, 0, 0, 0, 0, 0.0, 0.0),
             *(self.model, '', '', 0, [], 'a'),
@@ -88,7 +88,7 @@
     async def receive(
         self, controller: PlacementController, message: Any
     ) -> None:
-        """Answer a giver."""
+        """Handle a message from a controller."""
         match message:
             case messages.OrderPrepare(order_id=order_id):
                 nonce = self.gate.prepare(order_id)
@@ -103,7 +103,7 @@
     async def execute(
         self, controller: PlacementController, order: messages.Order
     ) -> None:
-        """Load a model if the gate lets the order through."""
+        """Load the model if the fencing gate admits the order."""
         passed = self.gate.admit(
             order.order_id, order.nonce, order.fencing_token
         )
@@ -123,18 +123,18 @@
     async def reply(
         self, controller: PlacementController, message: messages.Message
     ) -> None:
-        """Send an answer to a giver."""
+        """Send a reply to a controller."""
         session = controller.fleet.links[self.name].session
         await controller.calls.on_reply(session, message)
 
 
 class EngineSession:
-    """Session of one giver to one engine."""
+    """Session of one controller to one engine."""
 
     def __init__(
         self, engine: Engine, simulation: Simulation, entry: str
     ) -> None:
-        """Keep both ends."""
+        """Store the two ends of the session."""
         self.engine = engine
         self.simulation = simulation
         self.entry = entry
@@ -142,7 +142,7 @@
         self.remote = messages.Hello(1, 'sidecar', engine.name, 'a', 'i')
 
     def send(self, message: messages.Message) -> None:
-        """Hand a message to the engine."""
+        """Deliver a message to the engine."""
         controller = self.simulation.controllers[self.entry]
         self.simulation.group.start_soon(
             self.engine.receive, controller, message
@@ -151,7 +151,7 @@
 
 @dataclass
 class Simulation:
-    """Engines, givers and the weight store between them."""
+    """Engines, controllers and the weight store they share."""
 
     group: TaskGroup
     store: MemoryStore = field(default_factory=MemoryStore)
@@ -170,7 +170,7 @@
         self.loading -= 1
 
     async def report_state(self, engine: Engine) -> None:
-        """Report an engine's state to all givers."""
+        """Report an engine's state to all connected controllers."""
         for controller in self.controllers.values():
             link = controller.fleet.links.get(engine.name)
             if link is None:
@@ -206,7 +206,7 @@
         return controller
 
     async def settle(self) -> None:
-        """Let all tasks run until they wait."""
+        """Run all tasks until they block."""
         for _ in range(60):
             await anyio.lowlevel.checkpoint()
 
@@ -218,13 +218,13 @@
 
 
 async def never_connect(instance: Instance) -> None:
-    """Reach nothing."""
+    """Return without a connection."""
 
 
 def run_simulation(
     engines: dict[str, str], scenario: Callable[[Simulation], Awaitable[None]]
 ) -> None:
-    """Run a scenario with engines by name and pool."""
+    """Run a scenario with engines, given by name and pool."""
 
     async def main() -> None:
         with anyio.fail_after(LIMIT_S):
@@ -248,7 +248,7 @@
         controller = await simulation.add_controller(
             'e1', two_pools(8, 0, limit)
         )
-        # Rounds that come before the first orders have taken their places.
+        # Rounds before the first orders have reserved their load slots.
         for _ in range(4):
             await controller.reconcile()
         for _ in range(5):
@@ -268,8 +268,8 @@
     run_simulation({f's{number}': 'a' for number in range(8)}, scenario)
 
 
-def test_a_new_giver_keeps_the_bound_and_repeats_lost_loads() -> None:
-    """Guards against a change of giver that doubles the loads."""
+def test_new_leader_keeps_the_bound_and_repeats_lost_loads() -> None:
+    """Guards against a change of leader that doubles the loads."""
 
     async def scenario(simulation: Simulation) -> None:
         old = await simulation.add_controller('e1', two_pools(4, 0, 2))
@@ -280,7 +280,7 @@
             await new.reconcile()
             await simulation.settle()
         assert (simulation.loading, new.epoch) == (2, 2)
-        # The loads got lost with the old giver's sidecars: ordered again.
+        # The old leader's loads never end here and are ordered again.
         simulation.now_ms += INHERITED_LOAD_TIMEOUT_MS
         await new.reconcile()
         await simulation.settle()
@@ -294,26 +294,26 @@
     """Store whose calls wait while a process is paused."""
 
     def __init__(self, store: MemoryStore) -> None:
-        """Keep the store."""
+        """Wrap a store; calls pass through until `running` is replaced."""
         self.store = store
         self.running = anyio.Event()
         self.running.set()
 
     async def get(self, key: str) -> Result[Record | None, KvError]:
-        """Read once the process runs."""
+        """Read once the process is running."""
         await self.running.wait()
         return await self.store.get(key)
 
     async def put_if(
         self, key: str, value: bytes, revision: int, lease_id: int = 0
     ) -> Result[int, KvError]:
-        """Write once the process runs."""
+        """Write once the process is running."""
         await self.running.wait()
         return await self.store.put_if(key, value, revision, lease_id)
 
 
-def test_giver_paused_before_it_reads_the_epoch() -> None:
-    """Guards against an order of a giver that lost its epoch."""
+def test_leader_paused_before_it_reads_the_epoch() -> None:
+    """Guards against an order of a leader that lost its epoch."""
 
     async def scenario(simulation: Simulation) -> None:
         store = PausingStore(simulation.store)
@@ -330,7 +330,7 @@
         assert (old.epoch, new.epoch) == (0, 2)
         assert simulation.loading == 0
         assert (await simulation.stored()).loads == {}
-        # It does not take the epoch back at once.
+        # The old leader does not reclaim the epoch at once.
         await old.reconcile()
         assert (await simulation.stored()).leader == 'e2'
 
@@ -341,8 +341,8 @@
     ('late_s', 'refusal'),
     [(0.0, 'token is stale'), (5.0, 'nonce not valid')],
 )
-def test_giver_paused_before_it_sends(late_s: float, refusal: str) -> None:
-    """Guards against a late order that undoes a newer one."""
+def test_leader_paused_before_it_sends(late_s: float, refusal: str) -> None:
+    """Guards against a delayed order that reverts a newer one."""
 
     async def scenario(simulation: Simulation) -> None:
         simulation.proceed.set()
@@ -378,7 +378,7 @@
 
 
 def test_endpoint_that_refuses_does_not_block_the_others() -> None:
-    """Guards against refused loads that keep or retake the only place."""
+    """Guards against refused loads that keep or retake the only slot."""
 
     async def scenario(simulation: Simulation) -> None:
         simulation.proceed.set()
@@ -389,7 +389,7 @@
             await simulation.settle()
         models = [one.model for one in simulation.engines.values()]
         assert models == ['', 'ma', 'ma']
-        # It is ordered again and again, until it takes the order.
+        # The order is repeated until the endpoint accepts it.
         simulation.engines['s1'].gate.highest = 0
         for _ in range(3):
             await controller.reconcile()
@@ -399,8 +399,8 @@
     run_simulation({'s1': 'a', 's2': 'a', 's3': 'a'}, scenario)
 
 
-def test_another_entry_that_ranks_first_gives_the_orders() -> None:
-    """Guards against two entries that give orders all the time."""
+def test_only_the_entry_that_ranks_first_leads() -> None:
+    """Guards against two entries that both lead."""
 
     async def scenario(simulation: Simulation) -> None:
         controllers = [
@@ -435,7 +435,7 @@
                 simulation.now_ms += 2000
                 await controller.reconcile()
                 await simulation.settle()
-        # An endpoint that was never looked at may be the missing one.
+        # The endpoint that was never polled may be the missing replica.
         assert (await simulation.stored()).assigned == {}
         controller.fleet.instances.pop('a9')
         for _ in range(300):
@@ -451,11 +451,11 @@
 
 
 async def skip_polling(reports: EndpointReports, pools: Any) -> None:
-    """Visit nothing."""
+    """Poll no endpoint."""
 
 
-def test_endpoints_outside_the_subset_are_visited_and_ordered() -> None:
-    """Guards against endpoints that the giver is not connected to."""
+def test_endpoints_outside_the_subset_are_polled_and_ordered() -> None:
+    """Guards against unconnected endpoints that get no orders."""
 
     async def scenario(simulation: Simulation) -> None:
         simulation.proceed.set()
@@ -484,7 +484,7 @@
 
 
 def engines_of(layout: dict[str, str], down: set[str]) -> list[Endpoint]:
-    """Return endpoints by name and pool."""
+    """Return the endpoints of a layout; those in `down` are not up."""
     return [
         Endpoint(name, pool, name not in down, f'm{pool}', '', '')
         for name, pool in layout.items()
@@ -509,7 +509,7 @@
 def test_moves(
     counts: tuple[int, int], down: set[str], lasted_ms: int, moved: str
 ) -> None:
-    """Guards against moves that are early, or from a pool that needs all."""
+    """Guards against moves that are early or from a pool without surplus."""
     pools = managed_pools(two_pools(*counts))
     endpoints = engines_of(LAYOUT, down)
     shortages = ShortageTracker()
@@ -521,10 +521,10 @@
 @pytest.mark.parametrize(
     ('counts', 'assigned', 'moved_ms', 'moved'),
     [
-        # The endpoint that returns to its own pool goes first.
+        # An endpoint that returns to its own pool is preferred.
         ((2, 3), {'b3': 'a'}, {}, 'b3'),
         ((2, 3), {'b3': 'a'}, {'b3': 1}, 'b3'),
-        # One that was moved lately does not go away again.
+        # An endpoint that was moved recently does not move again.
         ((4, 2), {}, {'b1': 1}, 'b2'),
         ((4, 2), {}, {'b1': 1, 'b2': 1, 'b3': 1}, ''),
         ((4, 2), {}, {'b1': 1 - MIN_STAY_MS, 'b2': 1, 'b3': 1}, 'b1'),
@@ -536,7 +536,7 @@
     moved_ms: dict[str, int],
     moved: str,
 ) -> None:
-    """Guards against endpoints that are moved to and fro."""
+    """Guards against endpoints that flap between pools."""
     pools = managed_pools(two_pools(*counts))
     placement = Placement(1, '', assigned, moved_ms)
     endpoints = engines_of(LAYOUT, set())
@@ -547,7 +547,7 @@
 
 
 def test_only_a_pool_with_a_surplus_gives() -> None:
-    """Guards against a shortage that is passed on to a third pool."""
+    """Guards against a move that shifts a shortage to another pool."""
     configuration = two_pools(4, 3)
     third = configuration.pools['a'].model_copy(update={'replicas': 1})
     pools = {**configuration.pools, 'c': third}
@@ -571,8 +571,8 @@
         max_size=40,
     )
 )
-def test_moves_never_make_a_shortage_nor_flap(steps: list[Any]) -> None:
-    """Guards against endpoints that go to and fro between pools."""
+def test_moves_never_cause_a_shortage_nor_flap(steps: list[Any]) -> None:
+    """Guards against moves that cause a shortage or follow too soon."""
     placement = Placement()
     shortages = ShortageTracker()
     now_ms = 0
@@ -609,7 +609,7 @@
 def test_ended_loads(
     model: str, up: bool, refused: set[str], age_ms: int, ended: bool
 ) -> None:
-    """Guards against places that are freed early or never."""
+    """Guards against load slots that are freed early or never."""
     placement = Placement(1, 'e1', {}, {}, {'s1': 0})
     pools = managed_pools(two_pools(1, 1))
     endpoint = Endpoint('s1', 'a', up, model, '', '')
@@ -618,6 +618,6 @@
 
 
 def test_placement_survives_storage() -> None:
-    """Guards against a placement that does not survive its storage."""
+    """Guards against fields lost or reordered by packing."""
     placement = Placement(3, 'e1', {'s1': 'b'}, {'s1': 5}, {'s2': 6})
     assert Placement.unpack(placement.pack()) == placement
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -1,4 +1,4 @@
-"""Tests of the spread of configuration versions, over real sockets."""
+"""Tests of configuration propagation over real sockets."""
 
 from __future__ import annotations
 
@@ -38,19 +38,19 @@
 
 
 class WithoutWatch(HttpKeyValueStore):
-    """Store whose watches never give anything."""
+    """Store whose watches never deliver a change."""
 
     async def watch(
         self, prefix: str, after_revision: int
     ) -> AsyncIterator[Change]:
-        """Wait for ever."""
+        """Block forever."""
         await anyio.sleep_forever()
         yield  # type: ignore[misc]
 
 
 @dataclass
 class Node:
-    """What one entry has for its configuration."""
+    """The parts of one entry that handle its configuration."""
 
     fleet: Fleet
     sync: ConfigSync
@@ -62,7 +62,7 @@
 
     @property
     def holder(self) -> ConfigHolder:
-        """Return the node's configuration."""
+        """Return the holder of the node's configuration."""
         return self.sync.holder
 
     def row(self) -> Instance:
@@ -71,12 +71,12 @@
         return Instance(own.instance, 'entry', own.failure_domain, self.address)
 
     async def submit(self, number: int) -> int:
-        """Submit a patch on the present version; return the new one."""
+        """Submit a patch against the current version; return the new one."""
         operations: list[dict[str, Any]] = [
             {'op': 'replace', 'path': '/max_item_tries', 'value': number}
         ]
         if not self.holder.version:
-            # A document that is larger than a patch.
+            # Makes the document larger than a patch, so that deltas pay off.
             operations.append(
                 {
                     'op': 'replace',
@@ -99,7 +99,7 @@
 def make_node(
     name: str, store: HttpKeyValueStore, group: TaskGroup, timers: TimerService
 ) -> Node:
-    """Build a node that does not run yet."""
+    """Build a node without starting it."""
     clock = HybridClock(name)
     fleet = Fleet(Instance(name, 'entry', 'a', ''), 20)
     holder = ConfigHolder()
@@ -150,7 +150,7 @@
 
 
 def stop_polling(node: Node) -> None:
-    """Leave only watches and peers to a node."""
+    """Stop a node's polls, so that only watches and peers remain."""
     for one in list(node.timers.subscriptions):
         if one.name == 'config_poll':
             node.timers.unsubscribe(one)
@@ -159,7 +159,7 @@
 async def run_fake_sidecar(
     address: str, on_message: Any, version: int = 0
 ) -> None:
-    """Be a sidecar that holds a version and asks for nothing."""
+    """Run a sidecar that has a version and sends no requests."""
 
     async def on_open(session: PeerSession) -> None:
         """Send nothing."""
@@ -206,7 +206,7 @@
 
 
 def test_version_reaches_peers_without_watches() -> None:
-    """Guards against spread that depends on the watches alone."""
+    """Guards against propagation that depends on watches alone."""
 
     async def scenario(standin: KvStandin, start: Any) -> None:
         first, second = await start('e1'), await start('e2')
@@ -223,7 +223,7 @@
 
 
 def test_watch_brings_a_version_without_peers() -> None:
-    """Guards against a watch that sees nothing or starts too late."""
+    """Guards against a watch that misses changes or starts too late."""
 
     async def scenario(standin: KvStandin, start: Any) -> None:
         first = await start('e1', HttpKeyValueStore)
@@ -238,7 +238,7 @@
     run_scenario(scenario)
 
 
-def test_watch_works_after_the_service_discarded_its_revision() -> None:
+def test_watch_works_after_its_revision_was_compacted() -> None:
     """Guards against a rarely changed value that can't be watched again."""
 
     async def scenario(standin: KvStandin, start: Any) -> None:
@@ -250,7 +250,7 @@
         standin.state.compacted = standin.state.revision
         node = await start('e1', HttpKeyValueStore)
         stop_polling(node)
-        # The first watch is cancelled at once; the second one stays.
+        # The first watch is cancelled at once; the second one stays open.
         while standin.counts.calls['watch'] < 2 or not (
             standin.counts.open_watches and node.sync.watch_delivered
         ):
@@ -269,7 +269,7 @@
 
 
 def test_poll_finds_a_version_whose_writer_died() -> None:
-    """Guards against a version that only its dead writer knew of."""
+    """Guards against a version that is lost when its writer dies."""
 
     async def scenario(standin: KvStandin, start: Any) -> None:
         first, second = await start('e1'), await start('e2')
@@ -277,7 +277,7 @@
         first.group.cancel_scope.cancel()
         await second.sync.poll()
         assert second.holder.version == version
-        # A second version, now that the first is known.
+        # The same for a second version, after the first was adopted.
         third = await start('e3')
         await third.sync.refresh()
         version = await third.submit(12)
@@ -303,7 +303,7 @@
 
 
 def test_start_in_an_outage_takes_the_peers_version() -> None:
-    """Guards against a restarted process that reverts or is ready early."""
+    """Guards against a restart that reverts or is ready too early."""
 
     async def scenario(standin: KvStandin, start: Any) -> None:
         first, second = await start('e1'), await start('e2')
@@ -340,7 +340,7 @@
         old = pack_document(Configuration(max_item_tries=99))
         first.fleet.send_to_entry('e2', messages.ConfigPush(1, old))
         first.fleet.send_to_entry('e2', messages.ConfigPush(version, old))
-        # A later version over the same connection proves that they arrived.
+        # A later version on the same connection shows that both arrived.
         version = await first.submit(13)
         await first.sync.refresh()
         await second.holder.wait_for(version)
@@ -350,7 +350,7 @@
     run_scenario(scenario)
 
 
-def test_wait_everywhere_names_those_that_lack_it() -> None:
+def test_wait_for_rollout_names_those_that_lack_it() -> None:
     """Guards against a wait that ends before every live process reported."""
 
     async def scenario(standin: KvStandin, start: Any) -> None:
@@ -372,7 +372,7 @@
 
 
 def test_peer_that_can_not_ask_is_sent_the_document() -> None:
-    """Guards against sidecars that stay behind for ever."""
+    """Guards against sidecars that stay behind forever."""
 
     async def scenario(standin: KvStandin, start: Any) -> None:
         node = await start('e1')
@@ -400,8 +400,8 @@
     run_scenario(scenario)
 
 
-def test_wait_everywhere_asks_the_other_entries() -> None:
-    """Guards against a wait that knows only its own entry's sidecars."""
+def test_wait_for_rollout_queries_the_other_entries() -> None:
+    """Guards against a wait that covers only its own entry's sidecars."""
 
     async def scenario(standin: KvStandin, start: Any) -> None:
         first, second = await start('e1'), await start('e2')
@@ -431,7 +431,7 @@
 def test_few_entries_of_a_failure_domain_watch(
     others: int, expected: int
 ) -> None:
-    """Guards against watches that grow with the fleet."""
+    """Guards against a number of watches that grows with the fleet."""
     fleet = Fleet(Instance('e0', 'entry', 'a', ''), 20)
     for number in range(others):
         name = f'e{number + 1}'
