--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -1,4 +1,4 @@
-"""Tests of the spread of configuration versions, over real sockets."""
+"""Tests of configuration propagation over real sockets."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 from quetzaldyke.process.fleet import Fleet, Instance
 from quetzaldyke.process.logs import make_log_event
 from quetzaldyke.standins.kv import KvOptions, KvStandin, run_kv
+from quetzaldyke.version.config_sync import ConfigSync, watchers_of
 from quetzaldyke.version.configuration import (
     Configuration,
     hash_key,
     pack_document,
 )
-from quetzaldyke.version.everywhere import EverywhereWait
 from quetzaldyke.version.holder import ConfigHolder
-from quetzaldyke.version.spread import Spread, watchers_of
+from quetzaldyke.version.rollout import RolloutMonitor
 from quetzaldyke.version.store import submit_patch
 
 SECRET = 'fleet-secret-0001'
@@ -38,23 +38,23 @@
 
 
 class WithoutWatch(HttpKeyValueStore):
-    """Store whose watches never give anything."""
+    """Store whose watches never deliver a change."""
 
     async def watch(
         self, prefix: str, after_revision: int
     ) -> AsyncIterator[Change]:
-        """Wait for ever."""
+        """Block forever."""
         await anyio.sleep_forever()
         yield  # type: ignore[misc]
 
 
 @dataclass
 class Node:
-    """What one entry has for its configuration."""
+    """The parts of one entry that handle its configuration."""
 
     fleet: Fleet
-    spread: Spread
-    wait: EverywhereWait
+    sync: ConfigSync
+    rollout: RolloutMonitor
     options: LinkOptions
     group: TaskGroup
     timers: TimerService
@@ -62,8 +62,8 @@
 
     @property
     def holder(self) -> ConfigHolder:
-        """Return the node's configuration."""
-        return self.spread.holder
+        """Return the holder of the node's configuration."""
+        return self.sync.holder
 
     def row(self) -> Instance:
         """Return the node's row in the instance list."""
@@ -71,12 +71,12 @@
         return Instance(own.instance, 'entry', own.failure_domain, self.address)
 
     async def submit(self, number: int) -> int:
-        """Submit a patch on the present version; return the new one."""
+        """Submit a patch against the current version; return the new one."""
         operations: list[dict[str, Any]] = [
             {'op': 'replace', 'path': '/max_item_tries', 'value': number}
         ]
         if not self.holder.version:
-            # A document that is larger than a patch.
+            # Makes the document larger than a patch, so that deltas pay off.
             operations.append(
                 {
                     'op': 'replace',
@@ -88,7 +88,7 @@
                 }
             )
         outcome = await submit_patch(
-            self.spread.store,
+            self.sync.store,
             self.holder.version,
             f'patch-{number}',
             operations,
@@ -99,17 +99,17 @@
 def make_node(
     name: str, store: HttpKeyValueStore, group: TaskGroup, timers: TimerService
 ) -> Node:
-    """Build a node that does not run yet."""
+    """Build a node without starting it."""
     clock = HybridClock(name)
     fleet = Fleet(Instance(name, 'entry', 'a', ''), 20)
     holder = ConfigHolder()
     log_event, _ = make_log_event(name, clock)
-    spread = Spread.from_parts(
+    sync = ConfigSync.from_parts(
         store, holder, fleet, Clock(), log_event, lambda: 0.0
     )
-    spread.subscribe(timers)
-    wait = EverywhereWait(fleet, spread.exchange, Clock())
-    wait.subscribe()
+    sync.subscribe(timers)
+    rollout = RolloutMonitor(fleet, sync.exchange, Clock())
+    rollout.subscribe()
 
     async def on_open(session: PeerSession) -> None:
         await fleet_module.opened(fleet, session)
@@ -128,7 +128,7 @@
         on_message,
         lambda session: fleet_module.closed(fleet, session),
     )
-    return Node(fleet, spread, wait, options, group, timers)
+    return Node(fleet, sync, rollout, options, group, timers)
 
 
 async def run_node(
@@ -143,14 +143,14 @@
         node = make_node(name, store, group, timers)
         node.address = await group.start(listen, '127.0.0.1:0', node.options)
         group.start_soon(timers.run)
-        group.start_soon(node.spread.run)
-        group.start_soon(node.wait.run)
+        group.start_soon(node.sync.run)
+        group.start_soon(node.rollout.run)
         task_status.started(node)
         await anyio.sleep_forever()
 
 
 def stop_polling(node: Node) -> None:
-    """Leave only watches and peers to a node."""
+    """Stop a node's polls, so that only watches and peers remain."""
     for one in list(node.timers.subscriptions):
         if one.name == 'config_poll':
             node.timers.unsubscribe(one)
@@ -159,7 +159,7 @@
 async def run_fake_sidecar(
     address: str, on_message: Any, version: int = 0
 ) -> None:
-    """Be a sidecar that holds a version and asks for nothing."""
+    """Run a sidecar that has a version and sends no requests."""
 
     async def on_open(session: PeerSession) -> None:
         """Send nothing."""
@@ -206,24 +206,24 @@
 
 
 def test_version_reaches_peers_without_watches() -> None:
-    """Guards against spread that depends on the watches alone."""
+    """Guards against propagation that depends on watches alone."""
 
     async def scenario(standin: KvStandin, start: Any) -> None:
         first, second = await start('e1'), await start('e2')
         introduce(first, second)
         for number in (11, 12, 13):
             version = await first.submit(number)
-            await first.spread.refresh()
+            await first.sync.refresh()
             current = await second.holder.wait_for(version)
             assert current.max_item_tries == number
-        exchange = first.spread.exchange
+        exchange = first.sync.exchange
         assert (exchange.sent_documents, exchange.sent_deltas) == (1, 2)
 
     run_scenario(scenario)
 
 
 def test_watch_brings_a_version_without_peers() -> None:
-    """Guards against a watch that sees nothing or starts too late."""
+    """Guards against a watch that misses changes or starts too late."""
 
     async def scenario(standin: KvStandin, start: Any) -> None:
         first = await start('e1', HttpKeyValueStore)
@@ -238,29 +238,29 @@
     run_scenario(scenario)
 
 
-def test_watch_works_after_the_service_discarded_its_revision() -> None:
+def test_watch_works_after_its_revision_was_compacted() -> None:
     """Guards against a rarely changed value that can't be watched again."""
 
     async def scenario(standin: KvStandin, start: Any) -> None:
         writer = await start('e0')
         await writer.submit(11)
-        await writer.spread.refresh()
+        await writer.sync.refresh()
         for _ in range(3):
             standin.state.put(b'other', b'', 0)
         standin.state.compacted = standin.state.revision
         node = await start('e1', HttpKeyValueStore)
         stop_polling(node)
-        # The first watch is cancelled at once; the second one stays.
+        # The first watch is cancelled at once; the second one stays open.
         while standin.counts.calls['watch'] < 2 or not (
-            standin.counts.open_watches and node.spread.watch_gave
+            standin.counts.open_watches and node.sync.watch_delivered
         ):
             await anyio.sleep(0.01)
         refreshed: list[int] = []
 
-        async def refresh(spread: Spread) -> None:
+        async def refresh(sync: ConfigSync) -> None:
             refreshed.append(1)
 
-        with mock.patch.object(Spread, 'refresh', refresh):
+        with mock.patch.object(ConfigSync, 'refresh', refresh):
             version = await writer.submit(12)
             await node.holder.wait_for(version)
         assert not refreshed
@@ -269,19 +269,19 @@
 
 
 def test_poll_finds_a_version_whose_writer_died() -> None:
-    """Guards against a version that only its dead writer knew of."""
+    """Guards against a version that is lost when its writer dies."""
 
     async def scenario(standin: KvStandin, start: Any) -> None:
         first, second = await start('e1'), await start('e2')
         version = await first.submit(11)
         first.group.cancel_scope.cancel()
-        await second.spread.poll()
+        await second.sync.poll()
         assert second.holder.version == version
-        # A second version, now that the first is known.
+        # The same for a second version, after the first was adopted.
         third = await start('e3')
-        await third.spread.refresh()
+        await third.sync.refresh()
         version = await third.submit(12)
-        await second.spread.poll()
+        await second.sync.poll()
         assert second.holder.version == version
 
     run_scenario(scenario)
@@ -293,32 +293,32 @@
     async def scenario(standin: KvStandin, start: Any) -> None:
         node = await start('e1')
         await node.submit(11)
-        await node.spread.refresh()
+        await node.sync.refresh()
         before = standin.counts.calls['range']
         for _ in range(5):
-            await node.spread.poll()
+            await node.sync.poll()
         assert standin.counts.calls['range'] - before == 5
 
     run_scenario(scenario)
 
 
 def test_start_in_an_outage_takes_the_peers_version() -> None:
-    """Guards against a restarted process that reverts or is ready early."""
+    """Guards against a restart that reverts or is ready too early."""
 
     async def scenario(standin: KvStandin, start: Any) -> None:
         first, second = await start('e1'), await start('e2')
         introduce(first, second)
         version = await first.submit(11)
-        await first.spread.refresh()
+        await first.sync.refresh()
         await second.holder.wait_for(version)
         standin.faults.down = True
         third = await start('e3')
-        await third.spread.poll()
-        await third.spread.check()
-        assert not third.spread.settled
+        await third.sync.poll()
+        await third.sync.check()
+        assert not third.sync.synced
         introduce(first, second, third)
         await third.holder.wait_for(version)
-        while not third.spread.settled:
+        while not third.sync.synced:
             await anyio.sleep(0.02)
         assert third.holder.version == version
         assert third.holder.current.max_item_tries == 11
@@ -333,16 +333,16 @@
         first, second = await start('e1'), await start('e2')
         introduce(first, second)
         await first.submit(11)
-        await first.spread.refresh()
+        await first.sync.refresh()
         version = await first.submit(12)
-        await first.spread.refresh()
+        await first.sync.refresh()
         await second.holder.wait_for(version)
         old = pack_document(Configuration(max_item_tries=99))
         first.fleet.send_to_entry('e2', messages.ConfigPush(1, old))
         first.fleet.send_to_entry('e2', messages.ConfigPush(version, old))
-        # A later version over the same connection proves that they arrived.
+        # A later version on the same connection shows that both arrived.
         version = await first.submit(13)
-        await first.spread.refresh()
+        await first.sync.refresh()
         await second.holder.wait_for(version)
         assert second.holder.current.max_item_tries == 13
         assert second.holder.refused_version == 0
@@ -350,19 +350,19 @@
     run_scenario(scenario)
 
 
-def test_wait_everywhere_names_those_that_lack_it() -> None:
+def test_wait_for_rollout_names_those_that_lack_it() -> None:
     """Guards against a wait that ends before every live process reported."""
 
     async def scenario(standin: KvStandin, start: Any) -> None:
         first, second = await start('e1'), await start('e2')
         introduce(first, second)
         version = await first.submit(11)
-        await first.spread.refresh()
-        assert await first.wait.wait_everywhere(version, LIMIT_S) == []
+        await first.sync.refresh()
+        assert await first.rollout.wait_for_rollout(version, LIMIT_S) == []
         silent = Instance('s9', 'sidecar', 'a', '127.0.0.1:1', 'orders')
         first.fleet.instances['s9'] = silent
-        assert await first.wait.wait_everywhere(version, 0.2) == ['s9']
-        assert await first.wait.wait_everywhere(version + 1, 0.2) == [
+        assert await first.rollout.wait_for_rollout(version, 0.2) == ['s9']
+        assert await first.rollout.wait_for_rollout(version + 1, 0.2) == [
             'e1',
             'e2',
             's9',
@@ -372,12 +372,12 @@
 
 
 def test_peer_that_can_not_ask_is_sent_the_document() -> None:
-    """Guards against sidecars that stay behind for ever."""
+    """Guards against sidecars that stay behind forever."""
 
     async def scenario(standin: KvStandin, start: Any) -> None:
         node = await start('e1')
         version = await node.submit(11)
-        await node.spread.refresh()
+        await node.sync.refresh()
         pushed: list[messages.Message] = []
         arrived = anyio.Event()
 
@@ -400,14 +400,14 @@
     run_scenario(scenario)
 
 
-def test_wait_everywhere_asks_the_other_entries() -> None:
-    """Guards against a wait that knows only its own entry's sidecars."""
+def test_wait_for_rollout_queries_the_other_entries() -> None:
+    """Guards against a wait that covers only its own entry's sidecars."""
 
     async def scenario(standin: KvStandin, start: Any) -> None:
         first, second = await start('e1'), await start('e2')
         introduce(first, second)
         version = await first.submit(11)
-        await first.spread.refresh()
+        await first.sync.refresh()
         listed = Instance('s1', 'sidecar', 'a', '127.0.0.1:1', 'orders')
         first.fleet.instances['s1'] = listed
 
@@ -420,7 +420,7 @@
             group.start_soon(
                 run_fake_sidecar, second.address, on_message, version
             )
-            assert await first.wait.wait_everywhere(version, LIMIT_S) == []
+            assert await first.rollout.wait_for_rollout(version, LIMIT_S) == []
             assert 's1' not in first.fleet.links
             group.cancel_scope.cancel()
 
@@ -431,7 +431,7 @@
 def test_few_entries_of_a_failure_domain_watch(
     others: int, expected: int
 ) -> None:
-    """Guards against watches that grow with the fleet."""
+    """Guards against a number of watches that grows with the fleet."""
     fleet = Fleet(Instance('e0', 'entry', 'a', ''), 20)
     for number in range(others):
         name = f'e{number + 1}'
