--- a/src/quetzaldyke/process/admission.py
+++ b/src/quetzaldyke/process/admission.py
@@ -15,12 +15,12 @@
 from quetzaldyke.parts.suspects import SuspectBook
 from quetzaldyke.parts.timers import Clock
 from quetzaldyke.process.batch_grants import BatchGrants
-from quetzaldyke.process.work import MS_IN_S, Work
+from quetzaldyke.process.tracked_request import MS_IN_S, TrackedRequest
 
 # Least and most time that a refused caller is told to wait.
 MIN_RETRY_MS: Final = 50
 MAX_RETRY_MS: Final = 5000
-RUN_TIME_WEIGHT: Final = 0.1
+RUN_TIME_EWMA_WEIGHT: Final = 0.1
 INITIAL_RUN_S: Final = 1.0
 # An online request that must run alone is given the endpoint after this
 # wait; until then others go before it.
@@ -28,7 +28,7 @@
 # Cancelled jobs that are remembered; one job id takes about 100 bytes.
 MAX_CANCELLED_JOBS: Final = 50_000
 
-CONFIRMED_REASON: Final = 'crashes_endpoints'
+CRASHING_REQUEST_REASON: Final = 'crashes_endpoints'
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class Admission:
+class AdmissionController:
     """What runs and what waits at one endpoint."""
 
     pool: str
@@ -50,15 +50,15 @@
     limit: AdaptiveLimit
     grants: BatchGrants
     suspects: SuspectBook
-    start: Callable[[Work], object]
-    refuse: Callable[[Work, Refusal], None]
+    start: Callable[[TrackedRequest], object]
+    refuse: Callable[[TrackedRequest, Refusal], None]
     headroom: Headroom = field(default_factory=Headroom)
-    queue: list[Work] = field(default_factory=list)
-    running: dict[str, Work] = field(default_factory=dict)
+    queue: list[TrackedRequest] = field(default_factory=list)
+    running: dict[str, TrackedRequest] = field(default_factory=dict)
     cancelled_jobs: dict[str, None] = field(default_factory=dict)
     closed_reason: str = 'starting'  # empty while work is admitted
-    run_s: float = INITIAL_RUN_S
-    started_s: float = 0.0  # when the latest request was started
+    mean_run_s: float = INITIAL_RUN_S
+    last_start_s: float = 0.0  # when the latest request was started
 
     @property
     def slots(self) -> int:
@@ -66,20 +66,22 @@
         return min(self.limit.limit, self.max_streams)
 
     @property
-    def free(self) -> int:
+    def free_slots(self) -> int:
         """Return the slots without a stream."""
         return self.slots - len(self.running)
 
-    def count(self, batch: bool) -> int:
+    def running_count(self, batch: bool) -> int:
         """Return the running streams of one class."""
-        return sum(work.batch is batch for work in self.running.values())
+        return sum(
+            request.is_batch is batch for request in self.running.values()
+        )
 
-    def batch_by_pool(self) -> dict[str, int]:
+    def running_batch_by_pool(self) -> dict[str, int]:
         """Return the running batch streams of each pool."""
         counts: dict[str, int] = {}
-        for work in self.running.values():
-            if work.batch:
-                pool = work.submit.pool
+        for request in self.running.values():
+            if request.is_batch:
+                pool = request.submit.pool
                 counts[pool] = counts.get(pool, 0) + 1
         return counts
 
@@ -92,69 +94,72 @@
         kept_free = self.headroom.slots(self.slots, self.clock.now())
         return max(0, self.slots - taken - kept_free)
 
-    def submit(self, work: Work) -> None:
+    def submit(self, request: TrackedRequest) -> None:
         """Start, queue or refuse a request that arrived."""
-        refusal = self.check(work)
-        if refusal is None and work.batch:
-            refusal = self.check_batch(work)
+        refusal = self.check(request)
+        if refusal is None and request.is_batch:
+            refusal = self.check_batch(request)
         elif refusal is None:
             self.headroom.note_arrival(self.clock.now())
-            refusal = self.check_online(work)
+            refusal = self.check_online(request)
         if refusal is not None:
-            self.refuse(work, refusal)
-        elif work.batch:
-            self.begin(work)
+            self.refuse(request, refusal)
+        elif request.is_batch:
+            self.dispatch(request)
         else:
-            self.queue.append(work)
-        self.pump()
+            self.queue.append(request)
+        self.schedule()
 
-    def check(self, work: Work) -> Refusal | None:
+    def check(self, request: TrackedRequest) -> Refusal | None:
         """Check what holds for both classes."""
-        if self.suspects.verdict(work.submit.fingerprint) == 'confirmed':
-            return Refusal(CONFIRMED_REASON)
+        if self.suspects.verdict(request.submit.fingerprint) == 'confirmed':
+            return Refusal(CRASHING_REQUEST_REASON)
         if self.closed_reason:
             return Refusal(self.closed_reason, MIN_RETRY_MS)
-        if work.submit.work not in {'online', 'batch'}:
+        if request.submit.work not in {'online', 'batch'}:
             return Refusal('unknown class of work')
-        if work.submit.remaining_ms <= 0:
+        if request.submit.remaining_ms <= 0:
             return Refusal('deadline has passed')
         return None
 
-    def check_batch(self, work: Work) -> Refusal | None:
+    def check_batch(self, request: TrackedRequest) -> Refusal | None:
         """Check the grant and the room of a batch item."""
-        submit = work.submit
+        submit = request.submit
         if submit.job_id in self.cancelled_jobs:
             return Refusal('job_cancelled')
         now_s = self.clock.now()
-        if not self.grants.take(work.session, submit, now_s):
+        if not self.grants.consume(request.session, submit, now_s):
             return Refusal('no valid grant')
         if not self.batch_room:
             return Refusal('no room for batch')
-        if not self.fits(work):
+        if not self.can_run_now(request):
             return Refusal('a suspect needs another endpoint')
         return None
 
-    def check_online(self, work: Work) -> Refusal | None:
+    def check_online(self, request: TrackedRequest) -> Refusal | None:
         """Refuse what would wait too long or borrows too much."""
-        pool = work.submit.pool
+        pool = request.submit.pool
         if pool != self.pool and not self.lends_online(pool):
             return Refusal('pool is not lent', MIN_RETRY_MS)
         wait_ms = self.expected_wait_ms()
         retry_ms = max(MIN_RETRY_MS, min(MAX_RETRY_MS, wait_ms))
-        places = self.max_queue + self.count(batch=True)
-        if self.free <= 0 and len(self.queue) >= places:
+        queue_capacity = self.max_queue + self.running_count(batch=True)
+        if self.free_slots <= 0 and len(self.queue) >= queue_capacity:
             return Refusal('overloaded', retry_ms)
-        if wait_ms > work.submit.remaining_ms:
+        if wait_ms > request.submit.remaining_ms:
             return Refusal('overloaded', retry_ms)
         return None
 
     def lends_online(self, pool: str) -> bool:
         """Tell whether another pool's online work may take one more slot."""
-        slots = self.grants.slots(
+        slots = self.grants.slot_quota(
             pool, 'online', at_risk=False, limit=self.slots
         )
-        held = [*self.running.values(), *self.queue]
-        used = sum(not work.batch and work.submit.pool == pool for work in held)
+        online_requests = [*self.running.values(), *self.queue]
+        used = sum(
+            not request.is_batch and request.submit.pool == pool
+            for request in online_requests
+        )
         return used < slots
 
     def expected_wait_ms(self) -> int:
@@ -163,66 +168,68 @@
         Batch streams give their slots up, so they don't count as waiting
         time.
         """
-        ahead = len(self.queue) + self.count(batch=False) + 1 - self.slots
+        ahead = (
+            len(self.queue) + self.running_count(batch=False) + 1 - self.slots
+        )
         if ahead <= 0:
             return 0
-        return int(ahead * self.run_s * MS_IN_S / self.slots)
+        return int(ahead * self.mean_run_s * MS_IN_S / self.slots)
 
-    def pump(self) -> None:
+    def schedule(self) -> None:
         """Start what fits, make room for online work, grant the rest."""
         now_s = self.clock.now()
-        self.drop_expired(now_s)
+        self.refuse_expired(now_s)
         waiting = self.start_online(now_s)
         self.preempt(waiting, now_s)
         self.limit.note_used(len(self.running))
-        self.give_grants(now_s)
+        self.issue_grants(now_s)
 
-    def drop_expired(self, now_s: float) -> None:
+    def refuse_expired(self, now_s: float) -> None:
         """Refuse queued requests whose deadline has passed."""
         expired = [one for one in self.queue if one.deadline_s <= now_s]
-        for work in expired:
-            self.queue.remove(work)
-            self.refuse(work, Refusal('deadline has passed'))
+        for request in expired:
+            self.queue.remove(request)
+            self.refuse(request, Refusal('deadline has passed'))
 
     def start_online(self, now_s: float) -> int:
         """Start queued requests; return how many wait only for a slot."""
-        if self.free <= 0 and not self.suspects.crashes:
+        if self.free_slots <= 0 and not self.suspects.crashes:
             return len(self.queue)
         waiting = 0
         exclusive = self.exclusive_waiting()
         candidates = list(self.queue) if exclusive is None else [exclusive]
-        for work in candidates:
-            if self.suspects.verdict(work.submit.fingerprint) == 'confirmed':
-                self.queue.remove(work)
-                self.refuse(work, Refusal(CONFIRMED_REASON))
-            elif not self.fits(work):
-                self.stop_suspect_batch(now_s)
-            elif self.free > 0:
-                self.queue.remove(work)
-                self.begin(work)
+        for request in candidates:
+            if self.suspects.verdict(request.submit.fingerprint) == 'confirmed':
+                self.queue.remove(request)
+                self.refuse(request, Refusal(CRASHING_REQUEST_REASON))
+            elif not self.can_run_now(request):
+                self.preempt_suspect_batch(now_s)
+            elif self.free_slots > 0:
+                self.queue.remove(request)
+                self.dispatch(request)
             else:
                 waiting += 1
         if exclusive is not None and exclusive.state == 'queued':
             return self.max_streams
         return waiting
 
-    def begin(self, work: Work) -> None:
+    def dispatch(self, request: TrackedRequest) -> None:
         """Hand a request to the endpoint."""
-        work.state = 'running'
-        work.started_s = self.clock.now()
-        self.started_s = work.started_s
-        self.running[work.submit.request_id] = work
-        work.alone = len(self.running) == 1
-        if not work.alone:
+        request.state = 'running'
+        request.started_s = self.clock.now()
+        self.last_start_s = request.started_s
+        self.running[request.submit.request_id] = request
+        request.ran_alone = len(self.running) == 1
+        if not request.ran_alone:
             for other in self.running.values():
-                other.alone = False
-        self.start(work)
+                other.ran_alone = False
+        self.start(request)
 
-    def fits(self, work: Work) -> bool:
+    def can_run_now(self, request: TrackedRequest) -> bool:
         """Tell whether a request may run beside what runs now."""
         if not self.suspects.crashes or not self.running:
             return True
-        verdict = self.suspects.verdict(work.submit.fingerprint)
+        verdict = self.suspects.verdict(request.submit.fingerprint)
         beside = {
             self.suspects.verdict(other.submit.fingerprint)
             for other in self.running.values()
@@ -231,22 +238,22 @@
             return False
         return verdict == 'clear' or beside == {'clear'}
 
-    def stop_suspect_batch(self, now_s: float) -> None:
+    def preempt_suspect_batch(self, now_s: float) -> None:
         """Preempt batch suspects that an online request can't run beside."""
-        for work in self.running.values():
-            verdict = self.suspects.verdict(work.submit.fingerprint)
-            if work.batch and verdict != 'clear':
-                work.stop('preempted', now_s)
+        for request in self.running.values():
+            verdict = self.suspects.verdict(request.submit.fingerprint)
+            if request.is_batch and verdict != 'clear':
+                request.stop('preempted', now_s)
 
-    def exclusive_waiting(self) -> Work | None:
+    def exclusive_waiting(self) -> TrackedRequest | None:
         """Return a queued request that is owed the endpoint for itself."""
         if not self.suspects.crashes:
             return None
         latest_s = self.clock.now() - EXCLUSIVE_WAIT_S
-        for work in self.queue:
-            verdict = self.suspects.verdict(work.submit.fingerprint)
-            if verdict == 'alone' and work.arrived_s <= latest_s:
-                return work
+        for request in self.queue:
+            verdict = self.suspects.verdict(request.submit.fingerprint)
+            if verdict == 'alone' and request.arrived_s <= latest_s:
+                return request
         return None
 
     def preempt(self, waiting: int, now_s: float) -> None:
@@ -256,23 +263,23 @@
         text to read again on resumption goes first, the newest of equals.
         """
         freeing = sum(
-            work.state == 'stopping' for work in self.running.values()
+            request.state == 'stopping' for request in self.running.values()
         )
-        needed = waiting - freeing - self.free
+        needed = waiting - freeing - self.free_slots
         if needed <= 0:
             return
         candidates = sorted(
             (
-                work
-                for work in self.running.values()
-                if work.batch and work.state == 'running'
+                request
+                for request in self.running.values()
+                if request.is_batch and request.state == 'running'
             ),
-            key=lambda work: (work.progress, -work.started_s),
+            key=lambda request: (request.resume_cost, -request.started_s),
         )
-        for work in candidates[:needed]:
-            work.stop('preempted', now_s)
+        for request in candidates[:needed]:
+            request.stop('preempted', now_s)
 
-    def give_grants(self, now_s: float) -> None:
+    def issue_grants(self, now_s: float) -> None:
         """Grant the batch room that is not granted yet."""
         self.grants.expire(now_s)
         if not self.grants.demands:
@@ -280,57 +287,57 @@
         room = self.batch_room - self.grants.outstanding()
         if room <= 0:
             return
-        for session, grant in self.grants.give(
+        for session, grant in self.grants.allocate(
             room,
             self.slots,
-            self.batch_by_pool(),
+            self.running_batch_by_pool(),
             now_s,
         ):
             session.send(grant)
 
-    def release(self, work: Work) -> None:
+    def release(self, request: TrackedRequest) -> None:
         """Free the slot of a request that ended at the endpoint."""
-        self.running.pop(work.submit.request_id, None)
+        self.running.pop(request.submit.request_id, None)
         now_s = self.clock.now()
-        if work.stop_reason == 'preempted':
-            self.headroom.note_yield(now_s - work.stop_s)
-        elif not work.batch and not work.stop_reason:
-            taken_s = now_s - work.started_s
-            self.run_s += (taken_s - self.run_s) * RUN_TIME_WEIGHT
-        work.end()
-
-    def cancel(self, work: Work, reason: str) -> None:
+        if request.stop_reason == 'preempted':
+            self.headroom.note_yield(now_s - request.stop_s)
+        elif not request.is_batch and not request.stop_reason:
+            run_s = now_s - request.started_s
+            self.mean_run_s += (run_s - self.mean_run_s) * RUN_TIME_EWMA_WEIGHT
+        request.mark_done()
+
+    def cancel(self, request: TrackedRequest, reason: str) -> None:
         """Drop a queued request or stop a running one."""
-        if work.state == 'queued':
-            work.end()
-            if work in self.queue:
-                self.queue.remove(work)
+        if request.state == 'queued':
+            request.mark_done()
+            if request in self.queue:
+                self.queue.remove(request)
         else:
-            work.stop(reason, self.clock.now())
+            request.stop(reason, self.clock.now())
 
     def close(self, reason: str) -> None:
         """Admit nothing more and refuse what waits."""
         self.closed_reason = reason
         queued, self.queue = self.queue, []
-        for work in queued:
-            self.refuse(work, Refusal(reason, MIN_RETRY_MS))
+        for request in queued:
+            self.refuse(request, Refusal(reason, MIN_RETRY_MS))
 
     def open(self) -> None:
         """Admit work."""
         self.closed_reason = ''
-        self.pump()
+        self.schedule()
 
-    def cancel_job(self, job_id: str) -> list[Work]:
+    def cancel_job(self, job_id: str) -> list[TrackedRequest]:
         """Refuse later starts of a job; return its running items."""
         self.cancelled_jobs[job_id] = None
         if len(self.cancelled_jobs) > MAX_CANCELLED_JOBS:
             self.cancelled_jobs.pop(next(iter(self.cancelled_jobs)))
         self.grants.drop_job(job_id)
         items = [
-            work
-            for work in self.running.values()
-            if work.batch and work.submit.job_id == job_id
+            request
+            for request in self.running.values()
+            if request.is_batch and request.submit.job_id == job_id
         ]
-        for work in items:
-            self.cancel(work, 'job_cancelled')
+        for request in items:
+            self.cancel(request, 'job_cancelled')
         return items
--- a/src/quetzaldyke/process/batch_grants.py
+++ b/src/quetzaldyke/process/batch_grants.py
@@ -17,17 +17,17 @@
 from quetzaldyke.connection.peer import PeerSession
 from quetzaldyke.version.configuration import EMPTY, Configuration
 
-GRANT_LIFE_S: Final = 2.0
+GRANT_TTL_S: Final = 2.0
 # Jobs whose slack differs by less count as equally urgent.
 EQUAL_SLACK_S: Final = 60.0
 MAX_SLACK_S: Final = 1e9
 # The share of an organisation's past grants that still counts after one
 # decay interval.
-USE_DECAY: Final = 0.5
+USE_DECAY_FACTOR: Final = 0.5
 USE_DECAY_INTERVAL_S: Final = 10.0
 
 
-def bounded(slack_s: float) -> float:
+def clamp_slack(slack_s: float) -> float:
     """Return a slack that can be ordered and rounded.
 
     >>> bounded(float('inf')) == MAX_SLACK_S
@@ -41,7 +41,7 @@
 class DemandKey(NamedTuple):
     """Who asks for what; the session is named by its identity."""
 
-    session: int
+    session_id: int
     pool: str
     organisation: str
     job_id: str
@@ -76,11 +76,13 @@
     configuration: Configuration = EMPTY
     demands: dict[DemandKey, Demand] = field(default_factory=dict)
     grants: dict[int, Grant] = field(default_factory=dict)
-    use: dict[str, float] = field(default_factory=lambda: defaultdict(float))
+    recent_use: dict[str, float] = field(
+        default_factory=lambda: defaultdict(float)
+    )
     decayed_s: float = 0.0
-    numbers: Iterator[int] = field(default_factory=lambda: itertools.count(1))
+    grant_ids: Iterator[int] = field(default_factory=lambda: itertools.count(1))
 
-    def demand(self, session: PeerSession, message: BatchDemand) -> None:
+    def set_demand(self, session: PeerSession, message: BatchDemand) -> None:
         """Replace an entry's demand for a job.
 
         Messages of a connection arrive in order: a count sent before a grant
@@ -102,7 +104,7 @@
             session,
             key,
             max(0, message.count - granted),
-            bounded(message.slack_s),
+            clamp_slack(message.slack_s),
         )
 
     def withdraw(self, key: DemandKey) -> None:
@@ -121,15 +123,15 @@
 
     def drop_grants(self, unwanted: Callable[[Grant], bool]) -> None:
         """Withdraw the grants that a test picks."""
-        for number, grant in list(self.grants.items()):
+        for grant_id, grant in list(self.grants.items()):
             if unwanted(grant):
-                self.grants.pop(number)
+                self.grants.pop(grant_id)
 
     def drop_session(self, session: PeerSession) -> None:
         """Forget an entry that is no longer connected."""
         self.drop_grants(lambda grant: grant.session is session)
         for key in list(self.demands):
-            if key.session == id(session):
+            if key.session_id == id(session):
                 self.demands.pop(key)
 
     def drop_job(self, job_id: str) -> None:
@@ -154,13 +156,15 @@
 
     def expire(self, now_s: float) -> None:
         """Drop late grants; an entry that used none must ask again."""
-        for number, grant in list(self.grants.items()):
+        for grant_id, grant in list(self.grants.items()):
             if grant.expires_s <= now_s:
-                self.grants.pop(number)
+                self.grants.pop(grant_id)
                 if not grant.used:
                     self.demands.pop(grant.key, None)
 
-    def take(self, session: PeerSession, submit: Submit, now_s: float) -> bool:
+    def consume(
+        self, session: PeerSession, submit: Submit, now_s: float
+    ) -> bool:
         """Use one item of a grant; False without a valid one."""
         grant = self.grants.get(submit.grant_id)
         if grant is None or grant.expires_s <= now_s:
@@ -179,7 +183,7 @@
             self.grants.pop(submit.grant_id)
         return True
 
-    def share(self, pool: str, work: str, at_risk: bool) -> float:
+    def share(self, pool: str, work_class: str, at_risk: bool) -> float:
         """Return the share of this endpoint's slots that a pool may use."""
         if pool == self.pool:
             return 1
@@ -189,98 +193,105 @@
                 for rule in self.configuration.lending
                 if rule.borrower == pool
                 and rule.lender == self.pool
-                and rule.work == work
+                and rule.work == work_class
                 and (rule.when == 'idle' or at_risk)
             ),
             default=0,
         )
 
-    def slots(self, pool: str, work: str, at_risk: bool, limit: int) -> int:
+    def slot_quota(
+        self, pool: str, work_class: str, at_risk: bool, limit: int
+    ) -> int:
         """Return the slots that a pool may use of `limit`."""
-        return math.floor(self.share(pool, work, at_risk) * limit)
+        return math.floor(self.share(pool, work_class, at_risk) * limit)
 
     def weight(self, organisation: str) -> float:
         """Return the weight of an organisation."""
-        known = self.configuration.organisations.get(organisation)
-        return known.weight if known else 1
+        configured = self.configuration.organisations.get(organisation)
+        return configured.weight if configured else 1
 
-    def urgency(self, demand: Demand) -> tuple[float, float, float]:
+    def priority_key(self, demand: Demand) -> tuple[float, float, float]:
         """Return the order of demands: slack, then past use, then slack."""
         return (
             math.floor(demand.slack_s / EQUAL_SLACK_S),
-            self.use[demand.key.organisation],
+            self.recent_use[demand.key.organisation],
             demand.slack_s,
         )
 
-    def give(
+    def allocate(
         self,
         room: int,
         limit: int,
-        running: dict[str, int],
+        running_by_pool: dict[str, int],
         now_s: float,
     ) -> list[tuple[PeerSession, BatchGrant]]:
         """Hand out the room, one slot after the other.
 
         `running` counts the running batch streams of each pool.
         """
-        self.decay(now_s)
-        given: dict[DemandKey, int] = defaultdict(int)
+        self.decay_use(now_s)
+        allocated: dict[DemandKey, int] = defaultdict(int)
         for _ in range(room):
-            chosen = self.choose(limit, running, given)
+            chosen = self.choose_demand(limit, running_by_pool, allocated)
             if chosen is None:
                 break
             chosen.count -= 1
-            given[chosen.key] += 1
+            allocated[chosen.key] += 1
             organisation = chosen.key.organisation
-            self.use[organisation] += 1 / self.weight(organisation)
-        return [self.grant(key, count, now_s) for key, count in given.items()]
+            self.recent_use[organisation] += 1 / self.weight(organisation)
+        return [
+            self.issue(key, count, now_s) for key, count in allocated.items()
+        ]
 
-    def choose(
+    def choose_demand(
         self,
         limit: int,
-        running: dict[str, int],
-        given: dict[DemandKey, int],
+        running_by_pool: dict[str, int],
+        allocated: dict[DemandKey, int],
     ) -> Demand | None:
         """Return the demand that gets the next slot."""
         open_demands = [
             demand
             for demand in self.demands.values()
-            if demand.count > 0 and self.lent(demand, limit, running, given)
+            if demand.count > 0
+            and self.has_quota(demand, limit, running_by_pool, allocated)
         ]
-        return min(open_demands, key=self.urgency, default=None)
+        return min(open_demands, key=self.priority_key, default=None)
 
-    def lent(
+    def has_quota(
         self,
         demand: Demand,
         limit: int,
-        running: dict[str, int],
-        given: dict[DemandKey, int],
+        running_by_pool: dict[str, int],
+        allocated: dict[DemandKey, int],
     ) -> bool:
         """Tell whether the demand's pool may use one more slot."""
         pool = demand.key.pool
-        slots = self.slots(pool, 'batch', demand.slack_s < 0, limit)
-        used = running.get(pool, 0) + self.outstanding(pool)
-        used += sum(count for key, count in given.items() if key.pool == pool)
+        slots = self.slot_quota(pool, 'batch', demand.slack_s < 0, limit)
+        used = running_by_pool.get(pool, 0) + self.outstanding(pool)
+        used += sum(
+            count for key, count in allocated.items() if key.pool == pool
+        )
         return used < slots
 
-    def grant(
+    def issue(
         self,
         key: DemandKey,
         count: int,
         now_s: float,
     ) -> tuple[PeerSession, BatchGrant]:
         """Record a grant and return its message."""
-        number = next(self.numbers)
+        grant_id = next(self.grant_ids)
         session = self.demands[key].session
-        self.grants[number] = Grant(key, session, count, now_s + GRANT_LIFE_S)
-        return session, BatchGrant(number, key.pool, key.job_id, count)
+        self.grants[grant_id] = Grant(key, session, count, now_s + GRANT_TTL_S)
+        return session, BatchGrant(grant_id, key.pool, key.job_id, count)
 
-    def decay(self, now_s: float) -> None:
+    def decay_use(self, now_s: float) -> None:
         """Let past use count less, so that it evens out over time."""
         if now_s - self.decayed_s < USE_DECAY_INTERVAL_S:
             return
         self.decayed_s = now_s
-        for organisation in list(self.use):
-            self.use[organisation] *= USE_DECAY
-            if self.use[organisation] < USE_DECAY:
-                self.use.pop(organisation)
+        for organisation in list(self.recent_use):
+            self.recent_use[organisation] *= USE_DECAY_FACTOR
+            if self.recent_use[organisation] < USE_DECAY_FACTOR:
+                self.recent_use.pop(organisation)
--- a/src/quetzaldyke/process/endpoint_watch.py
+++ b/src/quetzaldyke/process/endpoint_monitor.py
@@ -19,11 +19,11 @@
 from quetzaldyke.parts.fencing import FencingGate
 from quetzaldyke.parts.suspects import make_crash_id
 from quetzaldyke.parts.timers import Clock
-from quetzaldyke.process.admission import Admission
+from quetzaldyke.process.admission import AdmissionController
 from quetzaldyke.process.logs import LogEvent
 from quetzaldyke.process.sidecar_peers import SidecarPeers
-from quetzaldyke.process.streams import Client
-from quetzaldyke.process.work import Work
+from quetzaldyke.process.request_runner import EndpointClient
+from quetzaldyke.process.tracked_request import TrackedRequest
 
 # Streams that break together are seen within this time.
 BREAK_WINDOW_S: Final = 0.05
@@ -42,91 +42,97 @@
 
 
 @dataclass(slots=True)
-class Judgement:
+class CrashCheck:
     """The streams that were in flight when one of them broke."""
 
-    in_flight: list[Work]
-    broken: list[Work] = field(default_factory=list)
+    in_flight: list[TrackedRequest]
+    broken: list[TrackedRequest] = field(default_factory=list)
     done: anyio.Event = field(default_factory=anyio.Event)
 
 
 @dataclass(slots=True)
-class EndpointWatch:
+class EndpointMonitor:
     """State of one endpoint as its sidecar sees it."""
 
-    client: Client
+    client: EndpointClient
     clock: Clock
     log_event: LogEvent
-    admission: Admission
+    admission: AdmissionController
     peers: SidecarPeers
     gate: FencingGate
     origin: str
     on_change: Callable[[], None]
     up: bool = False
-    judgement: Judgement | None = None
+    crash_check: CrashCheck | None = None
     failed_checks: int = 0
     model: str = ''
     version: str = ''
     adapter: str = ''
     loading: bool = False
-    ordered: anyio.Event = field(default_factory=anyio.Event)
-    cache_number: int = 0
+    order_executed: anyio.Event = field(default_factory=anyio.Event)
+    last_cache_event: int = 0
     # Prefixes in the engine's cache, latest last.
     prefixes: dict[str, None] = field(default_factory=dict)
-    numbers: Iterator[int] = field(default_factory=lambda: itertools.count(1))
+    crash_numbers: Iterator[int] = field(
+        default_factory=lambda: itertools.count(1)
+    )
 
-    async def note_break(self, work: Work) -> None:
+    async def handle_broken_stream(self, request: TrackedRequest) -> None:
         """Wait until it is known whether the endpoint died."""
-        judgement = self.judgement
-        if judgement is None:
-            judgement = Judgement(list(self.admission.running.values()))
-            self.judgement = judgement
-            judgement.broken.append(work)
-            await self.judge(judgement)
+        crash_check = self.crash_check
+        if crash_check is None:
+            crash_check = CrashCheck(list(self.admission.running.values()))
+            self.crash_check = crash_check
+            crash_check.broken.append(request)
+            await self.run_crash_check(crash_check)
             return
-        judgement.broken.append(work)
-        await judgement.done.wait()
+        crash_check.broken.append(request)
+        await crash_check.done.wait()
 
-    async def judge(self, judgement: Judgement) -> None:
+    async def run_crash_check(self, crash_check: CrashCheck) -> None:
         """Decide whether the endpoint died and record the crash."""
         try:
-            if await self.died(judgement):
-                self.record_crash(judgement.in_flight)
-                self.go_down()
+            if await self.has_crashed(crash_check):
+                self.record_crash(crash_check.in_flight)
+                self.mark_down()
         finally:
-            self.judgement = None
-            judgement.done.set()
+            self.crash_check = None
+            crash_check.done.set()
 
-    async def died(self, judgement: Judgement) -> bool:
+    async def has_crashed(self, crash_check: CrashCheck) -> bool:
         """Tell whether the endpoint died."""
         if not await self.client.healthy():
             return True
         await anyio.sleep(BREAK_WINDOW_S)
         if not await self.client.healthy():
             return True
-        several = len(judgement.in_flight) > 1
-        return several and len(judgement.broken) >= len(judgement.in_flight)
+        several = len(crash_check.in_flight) > 1
+        return several and len(crash_check.broken) >= len(crash_check.in_flight)
 
-    def record_crash(self, in_flight: list[Work]) -> None:
+    def record_crash(self, in_flight: list[TrackedRequest]) -> None:
         """Record the crash for every request in flight and tell all."""
-        alone = len(in_flight) == 1 and in_flight[0].alone
+        alone = len(in_flight) == 1 and in_flight[0].ran_alone
         now_ms = self.peers.now_ms()
-        crash = make_crash_id(now_ms, self.origin, next(self.numbers), alone)
-        fingerprints = {work.submit.fingerprint for work in in_flight}
+        crash = make_crash_id(
+            now_ms, self.origin, next(self.crash_numbers), alone
+        )
+        fingerprints = {request.submit.fingerprint for request in in_flight}
         crashes = self.peers.suspects.record(crash, fingerprints, now_ms)
         self.log_event(
             'endpoint_crashed',
             crash_id=crash,
-            requests=' '.join(work.submit.request_id for work in in_flight),
+            requests=' '.join(
+                request.submit.request_id for request in in_flight
+            ),
         )
-        self.peers.tell_suspects(crashes, {})
+        self.peers.broadcast_suspects(crashes, {})
 
-    def note_finish(self, work: Work) -> None:
+    def clear_suspect(self, request: TrackedRequest) -> None:
         """Clear a suspect that finished."""
-        cleared = self.peers.suspects.clear(work.submit.fingerprint)
-        self.peers.tell_suspects({}, cleared)
+        cleared = self.peers.suspects.clear(request.submit.fingerprint)
+        self.peers.broadcast_suspects({}, cleared)
 
-    def go_down(self) -> None:
+    def mark_down(self) -> None:
         """Admit nothing until the endpoint answers again."""
         if not self.up:
             return
@@ -138,46 +144,46 @@
     async def run(self) -> None:
         """Check the endpoint until cancelled."""
         while True:
-            if not self.producing():
-                await self.check()
-            await self.wait()
+            if not self.has_recent_tokens():
+                await self.check_health()
+            await self.wait_for_next_check()
 
-    async def wait(self) -> None:
+    async def wait_for_next_check(self) -> None:
         """Wait for the next check; follows a load that is under way."""
         if not self.up:
             await anyio.sleep(DOWN_CHECK_INTERVAL_S)
         elif self.loading:
             await anyio.sleep(LOADING_INTERVAL_S)
-            await self.read_state()
+            await self.read_engine_state()
         else:
             await self.sleep_until_order(CHECK_INTERVAL_S)
 
-    async def sleep_until_order(self, limit_s: float) -> None:
+    async def sleep_until_order(self, timeout_s: float) -> None:
         """Sleep, but no longer than until an order is carried out."""
-        self.ordered = anyio.Event()
-        with anyio.move_on_after(limit_s):
-            await self.ordered.wait()
+        self.order_executed = anyio.Event()
+        with anyio.move_on_after(timeout_s):
+            await self.order_executed.wait()
 
-    def producing(self) -> bool:
+    def has_recent_tokens(self) -> bool:
         """Tell whether tokens prove that the endpoint lives."""
         since_s = self.clock.now() - CHECK_INTERVAL_S
         return self.up and any(
-            work.last_token_s > since_s
-            for work in self.admission.running.values()
+            request.last_token_s > since_s
+            for request in self.admission.running.values()
         )
 
-    async def check(self) -> None:
+    async def check_health(self) -> None:
         """Make one health check and act on a change."""
         if await self.client.healthy():
             self.failed_checks = 0
             if not self.up:
-                await self.come_up()
+                await self.bring_up()
             return
         self.failed_checks += 1
         if self.failed_checks >= MAX_FAILED_CHECKS:
-            self.go_down()
+            self.mark_down()
 
-    async def come_up(self) -> None:
+    async def bring_up(self) -> None:
         """Cancel orphans and admit work."""
         if isinstance(self.client, EngineClient):
             orphans = await self.client.cancel_orphans(
@@ -186,12 +192,12 @@
             if not isinstance(orphans, Ok):
                 return
             self.log_event('orphans_cancelled', count=orphans.ok_value)
-            await self.read_state()
+            await self.read_engine_state()
         self.up = True
         self.log_event('endpoint_up')
         self.on_change()
 
-    async def read_state(self) -> None:
+    async def read_engine_state(self) -> None:
         """Read what the engine has loaded and which token it has seen."""
         if not isinstance(self.client, EngineClient):
             return
@@ -202,7 +208,7 @@
         self.loading = bool(state.get('loading'))
         self.gate.note_token(number(state, 'highest_token'))
 
-    async def read_cache(self) -> None:
+    async def read_cache_events(self) -> None:
         """Follow the engine's cache events; gaps only lose hints.
 
         The cache of an idle engine does not change.
@@ -210,14 +216,18 @@
         if not isinstance(self.client, EngineClient) or not self.up:
             return
         now_s = self.clock.now()
-        if now_s - self.admission.started_s > CACHE_LAG_S:
+        if now_s - self.admission.last_start_s > CACHE_LAG_S:
             return
-        events = (await self.client.cache_events(self.cache_number)).unwrap_or(
+        events = (
+            await self.client.cache_events(self.last_cache_event)
+        ).unwrap_or(
             [],
         )
         for event in events:
             prefix = str(event.get('prefix', ''))
-            self.cache_number = max(self.cache_number, number(event, 'number'))
+            self.last_cache_event = max(
+                self.last_cache_event, number(event, 'number')
+            )
             self.prefixes.pop(prefix, None)
             if event.get('kind') == 'stored':
                 self.prefixes[prefix] = None
--- a/src/quetzaldyke/process/sidecar.py
+++ b/src/quetzaldyke/process/sidecar.py
@@ -11,7 +11,7 @@
 from quetzaldyke.connection.links import LinkOptions, listen
 from quetzaldyke.connection.messages import PROTOCOL_VERSION, Hello
 from quetzaldyke.process import sidecar_messages
-from quetzaldyke.process.endpoint_watch import STATE_INTERVAL_S
+from quetzaldyke.process.endpoint_monitor import STATE_INTERVAL_S
 from quetzaldyke.process.settings import SidecarSettings
 from quetzaldyke.process.sidecar_drain import drain
 from quetzaldyke.process.sidecar_state import SidecarProcess
@@ -19,7 +19,7 @@
 # Each run of a timer costs about 70 us of processor time. Late grants and
 # passed deadlines are also checked at each start.
 REPORT_INTERVAL_S: Final = 0.1
-PUMP_INTERVAL_S: Final = 0.25
+SCHEDULE_INTERVAL_S: Final = 0.25
 CACHE_INTERVAL_S: Final = 1.0
 FORGET_INTERVAL_S: Final = 60.0
 
@@ -43,14 +43,14 @@
         )
         subscribe_timers(process)
         group.start_soon(process.timers.run)
-        group.start_soon(process.watch.run)
+        group.start_soon(process.monitor.run)
         process.log_event('sidecar_started', address=process.peer_address)
         task_status.started(process)
         await process.stopping.wait()
         await drain(process)
         process.log_event('sidecar_stopped')
         group.cancel_scope.cancel()
-    await process.streams.client.connections.aclose()
+    await process.runner.client.connections.aclose()
 
 
 def make_link_options(process: SidecarProcess) -> LinkOptions:
@@ -61,7 +61,7 @@
         lambda: make_hello(process),
         lambda: process.config.version,
         sidecar_messages.make_open_handler(process),
-        sidecar_messages.make_handler(process),
+        sidecar_messages.make_message_handler(process),
         sidecar_messages.make_close_handler(process),
     )
 
@@ -81,11 +81,13 @@
     )
 
 
-def every(step: Callable[[], object]) -> Callable[[], Awaitable[None]]:
+def make_timer_job(
+    callback: Callable[[], object],
+) -> Callable[[], Awaitable[None]]:
     """Return a timer's job that runs one synchronous step."""
 
     async def job() -> None:
-        step()
+        callback()
 
     return job
 
@@ -97,19 +99,27 @@
     def report_failure(name: str, exc: Exception) -> None:
         process.log_event('timer_failed', timer=name, reason=repr(exc))
 
-    def pump() -> None:
+    def adjust_and_schedule() -> None:
         process.admission.limit.adjust(process.timers.clock.now())
-        process.admission.pump()
+        process.admission.schedule()
 
     def forget_old() -> None:
         process.peers.suspects.forget_old(process.peers.now_ms())
 
     timers.on_failure = report_failure
-    timers.subscribe('report', REPORT_INTERVAL_S, every(process.peers.report))
-    timers.subscribe('pump', PUMP_INTERVAL_S, every(pump))
-    timers.subscribe('forget', FORGET_INTERVAL_S, every(forget_old))
-    timers.subscribe('cache', CACHE_INTERVAL_S, process.watch.read_cache)
-    timers.subscribe('state', STATE_INTERVAL_S, process.watch.read_state)
+    timers.subscribe(
+        'report', REPORT_INTERVAL_S, make_timer_job(process.peers.report)
+    )
+    timers.subscribe(
+        'pump', SCHEDULE_INTERVAL_S, make_timer_job(adjust_and_schedule)
+    )
+    timers.subscribe('forget', FORGET_INTERVAL_S, make_timer_job(forget_old))
+    timers.subscribe(
+        'cache', CACHE_INTERVAL_S, process.monitor.read_cache_events
+    )
+    timers.subscribe(
+        'state', STATE_INTERVAL_S, process.monitor.read_engine_state
+    )
     timers.on_pause(
-        lambda gap_s: sidecar_messages.note_gap(process, gap_s),
+        lambda gap_s: sidecar_messages.handle_pause(process, gap_s),
     )
--- a/src/quetzaldyke/process/sidecar_drain.py
+++ b/src/quetzaldyke/process/sidecar_drain.py
@@ -8,10 +8,10 @@
 
 from quetzaldyke.connection.links import CONNECTION_FAULTS
 from quetzaldyke.connection.peer import PeerSession
-from quetzaldyke.process.sidecar_state import SidecarProcess, apply_gate
+from quetzaldyke.process.sidecar_state import SidecarProcess, update_admission
 
-POLL_S: Final = 0.01
-CLOSE_WAIT_S: Final = 2.0
+POLL_INTERVAL_S: Final = 0.01
+CLOSE_TIMEOUT_S: Final = 2.0
 
 
 def leave(process: SidecarProcess) -> None:
@@ -20,40 +20,40 @@
         return
     process.log_event('leaving', running=len(process.admission.running))
     process.peers.leave()
-    apply_gate(process)
+    update_admission(process)
     now_s = process.timers.clock.now()
-    for work in list(process.admission.running.values()):
-        if work.batch:
-            work.stop('preempted', now_s)
+    for request in list(process.admission.running.values()):
+        if request.is_batch:
+            request.stop('preempted', now_s)
 
 
 async def drain(process: SidecarProcess) -> None:
     """Leave, finish what runs, and close the connections."""
     leave(process)
     with anyio.move_on_after(process.settings.drain_s) as scope:
-        while process.streams.works:
-            await anyio.sleep(POLL_S)
+        while process.runner.requests:
+            await anyio.sleep(POLL_INTERVAL_S)
     if scope.cancelled_caught:
-        process.log_event('drain_timed_out', left=len(process.streams.works))
+        process.log_event('drain_timed_out', left=len(process.runner.requests))
     await close_sessions(process)
 
 
 async def close_sessions(process: SidecarProcess) -> None:
     """Write what is queued, then let the entries close."""
-    with anyio.move_on_after(CLOSE_WAIT_S):
+    with anyio.move_on_after(CLOSE_TIMEOUT_S):
         for session in list(process.peers.sessions()):
-            await end_session(session)
+            await close_session(session)
         while process.peers.peers:
-            await anyio.sleep(POLL_S)
+            await anyio.sleep(POLL_INTERVAL_S)
 
 
-async def end_session(session: PeerSession) -> None:
+async def close_session(session: PeerSession) -> None:
     """Send the rest and the end of the stream.
 
     A close without it could discard bytes that the peer has not read.
     """
     while session.outbox.pending and not session.closed:
-        await anyio.sleep(POLL_S)
+        await anyio.sleep(POLL_INTERVAL_S)
     session.closed = True
     try:
         await session.stream.send_eof()
--- a/src/quetzaldyke/process/sidecar_messages.py
+++ b/src/quetzaldyke/process/sidecar_messages.py
@@ -27,7 +27,7 @@
 from quetzaldyke.process.event_query import answer_query
 from quetzaldyke.process.sidecar_drain import leave
 from quetzaldyke.process.sidecar_state import SidecarProcess
-from quetzaldyke.process.work import Work
+from quetzaldyke.process.tracked_request import TrackedRequest
 
 # After this gap the entries have closed their connections for silence.
 PAUSE_LIMIT_S: Final = 3.0
@@ -49,27 +49,27 @@
     def closed(session: PeerSession) -> None:
         process.peers.drop(session)
         process.admission.grants.drop_session(session)
-        for work in list(process.streams.works.values()):
-            if work.session is session:
-                drop(process, work, 'connection was lost')
-        process.admission.pump()
+        for request in list(process.runner.requests.values()):
+            if request.session is session:
+                abandon(process, request, 'connection was lost')
+        process.admission.schedule()
         process.log_event('peer_lost', peer=session.remote.instance)
 
     return closed
 
 
-def make_handler(process: SidecarProcess) -> OnMessage:
+def make_message_handler(process: SidecarProcess) -> OnMessage:
     """Return the handler of messages."""
 
     async def handle(session: PeerSession, message: Message) -> None:
-        check_pause(process)
+        detect_pause(process)
         if not session.closed:
-            await act(process, session, message)
+            await dispatch_message(process, session, message)
 
     return handle
 
 
-async def act(
+async def dispatch_message(
     process: SidecarProcess,
     session: PeerSession,
     message: Message,
@@ -77,29 +77,29 @@
     """Act on one message."""
     match message:
         case Window():
-            process.streams.grant_window(message.request_id, message.chunks)
+            process.runner.grant_window(message.request_id, message.chunks)
         case Submit():
-            submit(process, session, message)
+            handle_submit(process, session, message)
         case Cancel():
-            cancel(process, session, message.request_id)
+            handle_cancel(process, session, message.request_id)
         case BatchDemand():
-            process.admission.grants.demand(session, message)
-            process.admission.pump()
+            process.admission.grants.set_demand(session, message)
+            process.admission.schedule()
         case CancelJob():
-            cancel_job(process, session, message.job_id)
+            handle_cancel_job(process, session, message.job_id)
         case Order() if process.orders.admit(session, message):
             process.group.start_soon(
-                process.orders.carry_out,
+                process.orders.execute,
                 session,
                 message,
             )
         case OrderPrepare():
             process.orders.prepare(session, message)
         case _:
-            act_on_state(process, session, message)
+            handle_fleet_message(process, session, message)
 
 
-def act_on_state(
+def handle_fleet_message(
     process: SidecarProcess,
     session: PeerSession,
     message: Message,
@@ -113,40 +113,40 @@
                 if isinstance(message, Heartbeat)
                 else message.version
             )
-            peers.note_version(session, version)
+            peers.update_version(session, version)
         case ConfigPush():
             if peers.adopt_config(session, message):
                 process.log_event('config_adopted', version=message.version)
         case SuspectUpdate():
             peers.merge_suspects(session, message)
-            process.admission.pump()
+            process.admission.schedule()
         case LeavingNotice() if message.instance == process.settings.instance:
             leave(process)
         case EventsRequest():
             answer_query(session, process.timeline, message)
 
 
-def submit(
+def handle_submit(
     process: SidecarProcess,
     session: PeerSession,
     message: Submit,
 ) -> None:
     """Take a request in."""
     now_s = process.timers.clock.now()
-    work = Work.from_submit(message, session, now_s)
-    known = process.streams.works.get(message.request_id)
-    if known is not None:
-        if known.session is not session or known.answer.closed:
-            process.streams.refuse(work, Refusal('request id is in use'))
+    request = TrackedRequest.from_submit(message, session, now_s)
+    existing = process.runner.requests.get(message.request_id)
+    if existing is not None:
+        if existing.session is not session or existing.answer.closed:
+            process.runner.refuse(request, Refusal('request id is in use'))
         return
-    if not well_formed(message):
-        process.streams.refuse(work, Refusal('malformed request'))
+    if not is_valid_request(message):
+        process.runner.refuse(request, Refusal('malformed request'))
         return
-    process.streams.works[message.request_id] = work
-    process.admission.submit(work)
+    process.runner.requests[message.request_id] = request
+    process.admission.submit(request)
 
 
-def well_formed(message: Submit) -> bool:
+def is_valid_request(message: Submit) -> bool:
     """Tell whether a request can be written as HTTP to the endpoint."""
     texts = [message.path, *message.headers, *message.headers.values()]
     return (
@@ -158,28 +158,30 @@
     )
 
 
-def cancel(
+def handle_cancel(
     process: SidecarProcess,
     session: PeerSession,
     request_id: str,
 ) -> None:
     """Stop a request that its entry no longer wants."""
-    work = process.streams.works.get(request_id)
-    if work is None or work.session is not session:
+    request = process.runner.requests.get(request_id)
+    if request is None or request.session is not session:
         return
-    drop(process, work, 'cancelled')
-    process.admission.pump()
+    abandon(process, request, 'cancelled')
+    process.admission.schedule()
 
 
-def drop(process: SidecarProcess, work: Work, reason: str) -> None:
+def abandon(
+    process: SidecarProcess, request: TrackedRequest, reason: str
+) -> None:
     """Stop a request whose answer nobody reads."""
-    work.answer.close()
-    process.admission.cancel(work, reason)
-    if work.state == 'done':
-        process.streams.forget(work)
+    request.answer.close()
+    process.admission.cancel(request, reason)
+    if request.state == 'done':
+        process.runner.remove(request)
 
 
-def cancel_job(
+def handle_cancel_job(
     process: SidecarProcess,
     session: PeerSession,
     job_id: str,
@@ -189,20 +191,20 @@
     process.log_event('job_cancelled', job_id=job_id, running=len(items))
 
     async def answer() -> None:
-        for work in items:
-            await work.ended.wait()
+        for request in items:
+            await request.ended.wait()
         session.send(JobStopped(job_id))
 
     process.group.start_soon(answer)
 
 
-def check_pause(process: SidecarProcess) -> None:
+def detect_pause(process: SidecarProcess) -> None:
     """Notice a pause of the process before acting on what was buffered."""
     if process.timers.delay_s > PAUSE_LIMIT_S:
         process.timers.notice_delay()
 
 
-def note_gap(process: SidecarProcess, gap_s: float) -> None:
+def handle_pause(process: SidecarProcess, gap_s: float) -> None:
     """Drop all work after a pause in which the entries gave this up.
 
     The entries have closed their connections and may have started the work
@@ -213,8 +215,8 @@
     process.log_event('process_paused', gap_s=round(gap_s, 1))
     process.orders.gate.clear()
     process.admission.grants.clear()
-    for work in list(process.streams.works.values()):
-        drop(process, work, 'process was paused')
+    for request in list(process.runner.requests.values()):
+        abandon(process, request, 'process was paused')
     for session in list(process.peers.sessions()):
         session.closed = True
         process.group.start_soon(session.stream.aclose)
--- a/src/quetzaldyke/process/sidecar_orders.py
+++ b/src/quetzaldyke/process/sidecar_orders.py
@@ -16,16 +16,16 @@
 )
 from quetzaldyke.connection.peer import PeerSession
 from quetzaldyke.parts.fencing import FencingGate
-from quetzaldyke.process.endpoint_watch import EndpointWatch
+from quetzaldyke.process.endpoint_monitor import EndpointMonitor
 from quetzaldyke.process.logs import LogEvent
 
 
 @dataclass(slots=True)
-class Orders:
+class OrderExecutor:
     """Orders at one endpoint."""
 
     gate: FencingGate
-    watch: EndpointWatch
+    monitor: EndpointMonitor
     log_event: LogEvent
     lock: anyio.Lock = field(default_factory=anyio.Lock)
 
@@ -46,18 +46,18 @@
             return False
         return True
 
-    async def carry_out(self, session: PeerSession, order: Order) -> None:
+    async def execute(self, session: PeerSession, order: Order) -> None:
         """Hand an admitted order to the engine and report its outcome."""
         async with self.lock:
-            refusal = await self.give(order)
+            refusal = await self.send_to_engine(order)
             if not refusal:
-                await self.watch.read_state()
-                self.watch.ordered.set()
+                await self.monitor.read_engine_state()
+                self.monitor.order_executed.set()
         self.reply(session, order, refusal)
 
-    async def give(self, order: Order) -> str:
+    async def send_to_engine(self, order: Order) -> str:
         """Give the order; return why it was not carried out."""
-        client = self.watch.client
+        client = self.monitor.client
         if not isinstance(client, EngineClient):
             return 'the endpoint takes no orders'
         # A newer order may have come while this one waited for its turn.
--- a/src/quetzaldyke/process/sidecar_peers.py
+++ b/src/quetzaldyke/process/sidecar_peers.py
@@ -58,14 +58,14 @@
         for peer in self.peers.values():
             yield peer.session
 
-    def send_all(
+    def broadcast(
         self,
         message: Message,
-        without: PeerSession | None = None,
+        exclude: PeerSession | None = None,
     ) -> None:
         """Send to every entry but one."""
         for session in self.sessions():
-            if session is not without:
+            if session is not exclude:
                 session.send(message)
 
     def add(self, session: PeerSession) -> None:
@@ -91,34 +91,36 @@
         travels along with the next write of each connection.
         """
         report = self.make_report()
-        earlier = self.last_report
-        at_once = earlier is None or decisive(report) != decisive(earlier)
-        if not at_once and not self.report_due(report):
+        previous = self.last_report
+        immediate = previous is None or routing_fields(
+            report
+        ) != routing_fields(previous)
+        if not immediate and not self.report_due(report):
             return
         self.last_report = report
         self.reported_s = self.clock.now()
         for session in self.sessions():
-            if at_once:
+            if immediate:
                 session.send(report)
             else:
                 session.send_with_next(report)
 
     def report_due(self, report: Report) -> bool:
         """Tell whether a report is worth its bytes now."""
-        waited_s = self.clock.now() - self.reported_s
+        elapsed_s = self.clock.now() - self.reported_s
         budget_s = len(self.peers) * REPORT_BYTES / REPORT_BYTES_PER_S
         if report == self.last_report:
-            return waited_s >= max(REPORT_MAX_INTERVAL_S, budget_s)
-        return waited_s >= budget_s
+            return elapsed_s >= max(REPORT_MAX_INTERVAL_S, budget_s)
+        return elapsed_s >= budget_s
 
     def leave(self) -> None:
         """Tell every entry that this instance is leaving."""
         if self.leaving:
             return
         self.leaving = True
-        self.send_all(LeavingNotice(self.instance))
+        self.broadcast(LeavingNotice(self.instance))
 
-    def note_version(self, session: PeerSession, version: int) -> None:
+    def update_version(self, session: PeerSession, version: int) -> None:
         """Note an entry's version and bring it up to date."""
         peer = self.peers.get(id(session))
         if peer is None:
@@ -139,8 +141,8 @@
         """Take a higher version and pass it on; False for others."""
         adopted = self.config.adopt(push.version, push.document)
         if adopted:
-            self.send_all(ConfigVersion(self.config.version))
-        self.note_version(session, push.version)
+            self.broadcast(ConfigVersion(self.config.version))
+        self.update_version(session, push.version)
         for peer in self.peers.values():
             self.push_config(peer)
         return adopted
@@ -156,20 +158,20 @@
             update.cleared,
             self.now_ms(),
         )
-        self.tell_suspects(crashes, cleared, without=session)
+        self.broadcast_suspects(crashes, cleared, exclude=session)
 
-    def tell_suspects(
+    def broadcast_suspects(
         self,
         crashes: CrashTable,
         cleared: CrashTable,
-        without: PeerSession | None = None,
+        exclude: PeerSession | None = None,
     ) -> None:
         """Send new records to the entries."""
         if crashes or cleared:
-            self.send_all(SuspectUpdate(crashes, cleared), without)
+            self.broadcast(SuspectUpdate(crashes, cleared), exclude)
 
 
-def decisive(report: Report) -> list[object]:
+def routing_fields(report: Report) -> list[object]:
     """Return the facts that decide whether an entry sends work at all."""
     return [
         report.endpoint_up,
--- a/src/quetzaldyke/process/sidecar_state.py
+++ b/src/quetzaldyke/process/sidecar_state.py
@@ -19,14 +19,14 @@
 from quetzaldyke.parts.suspects import SuspectBook
 from quetzaldyke.parts.timeline import Timeline
 from quetzaldyke.parts.timers import TimerService
-from quetzaldyke.process.admission import Admission
+from quetzaldyke.process.admission import AdmissionController
 from quetzaldyke.process.batch_grants import BatchGrants
-from quetzaldyke.process.endpoint_watch import DOWN_REASON, EndpointWatch
+from quetzaldyke.process.endpoint_monitor import DOWN_REASON, EndpointMonitor
 from quetzaldyke.process.logs import LogEvent, make_log_event
 from quetzaldyke.process.settings import SidecarSettings
-from quetzaldyke.process.sidecar_orders import Orders
+from quetzaldyke.process.sidecar_orders import OrderExecutor
 from quetzaldyke.process.sidecar_peers import SidecarPeers
-from quetzaldyke.process.streams import Client, Streams
+from quetzaldyke.process.request_runner import EndpointClient, RequestRunner
 from quetzaldyke.version.configuration import Configuration
 from quetzaldyke.version.holder import ConfigHolder
 
@@ -44,11 +44,11 @@
     log_event: LogEvent
     timeline: Timeline
     config: ConfigHolder
-    admission: Admission
-    streams: Streams
+    admission: AdmissionController
+    runner: RequestRunner
     peers: SidecarPeers
-    watch: EndpointWatch
-    orders: Orders
+    monitor: EndpointMonitor
+    orders: OrderExecutor
     incarnation: str
     group: TaskGroup
     peer_address: str = ''
@@ -69,7 +69,7 @@
         incarnation = secrets.token_hex(INCARNATION_BYTES)
         client = make_client(settings)
         gate = FencingGate(timers.clock)
-        admission = Admission(
+        admission = AdmissionController(
             settings.pool,
             settings.max_streams,
             settings.max_queue,
@@ -77,8 +77,8 @@
             make_limit(settings),
             BatchGrants(settings.pool),
             suspects,
-            start=lambda work: group.start_soon(streams.run, work),
-            refuse=lambda work, refusal: streams.refuse(work, refusal),
+            start=lambda request: group.start_soon(runner.run, request),
+            refuse=lambda request, refusal: runner.refuse(request, refusal),
         )
         peers = SidecarPeers(
             settings.instance,
@@ -88,7 +88,7 @@
             make_report=lambda: make_report(process),
             now_ms=wall_clock_ms,
         )
-        watch = EndpointWatch(
+        monitor = EndpointMonitor(
             client,
             timers.clock,
             log_event,
@@ -96,15 +96,15 @@
             peers,
             gate,
             origin=f'{settings.instance}/{incarnation}',
-            on_change=lambda: apply_gate(process),
+            on_change=lambda: update_admission(process),
         )
-        streams = Streams(
+        runner = RequestRunner(
             client,
             timers.clock,
             log_event,
             admission,
-            on_break=watch.note_break,
-            on_finish=watch.note_finish,
+            on_broken_stream=monitor.handle_broken_stream,
+            on_finish=monitor.clear_suspect,
         )
         process = cls(
             settings,
@@ -114,10 +114,10 @@
             timeline,
             config,
             admission,
-            streams,
+            runner,
             peers,
-            watch,
-            Orders(gate, watch, log_event),
+            monitor,
+            OrderExecutor(gate, monitor, log_event),
             incarnation,
             group,
         )
@@ -127,7 +127,7 @@
         return process
 
 
-def make_client(settings: SidecarSettings) -> Client:
+def make_client(settings: SidecarSettings) -> EndpointClient:
     """Return the client for the kind of endpoint."""
     connections = Connections(settings.endpoint_address)
     if settings.endpoint_kind == 'engine':
@@ -148,39 +148,41 @@
 def make_report(process: SidecarProcess) -> Report:
     """Return the present state of the endpoint."""
     admission = process.admission
-    watch = process.watch
+    monitor = process.monitor
     return Report(
         process.settings.pool,
-        watch.up,
+        monitor.up,
         process.peers.leaving,
         admission.slots,
-        admission.count(batch=False),
+        admission.running_count(batch=False),
         len(admission.queue),
-        admission.count(batch=True),
+        admission.running_count(batch=True),
         admission.batch_room,
         admission.limit.ttft_ms,
         admission.limit.tbt_ms,
-        watch.model,
-        watch.version,
-        watch.adapter,
+        monitor.model,
+        monitor.version,
+        monitor.adapter,
         process.orders.gate.highest,
-        list(watch.prefixes),
+        list(monitor.prefixes),
         process.settings.failure_domain,
     )
 
 
-def apply_gate(process: SidecarProcess) -> None:
+def update_admission(process: SidecarProcess) -> None:
     """Open or close admission after a change, and report it."""
     if process.peers.leaving:
         process.admission.close(LEAVING_REASON)
-    elif process.watch.up:
+    elif process.monitor.up:
         process.admission.open()
     else:
         process.admission.close(DOWN_REASON)
     process.peers.report()
 
 
-def apply_config(admission: Admission, current: Configuration) -> None:
+def apply_config(
+    admission: AdmissionController, current: Configuration
+) -> None:
     """Put a new configuration's lending rules in force."""
     admission.grants.configuration = current
-    admission.pump()
+    admission.schedule()
--- a/src/quetzaldyke/process/work.py
+++ b/src/quetzaldyke/process/tracked_request.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class Work:
+class TrackedRequest:
     """One request and what it has produced."""
 
     submit: Submit
@@ -26,7 +26,7 @@
     arrived_s: float
     deadline_s: float
     state: State = 'queued'
-    scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
+    cancel_scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
     stop_reason: str = ''
     stop_s: float = 0.0
     started_s: float = 0.0
@@ -34,7 +34,7 @@
     text: list[str] = field(default_factory=list)
     tokens: int = 0
     # The endpoint ran nothing else at any time of this run.
-    alone: bool = False
+    ran_alone: bool = False
     ended: anyio.Event = field(default_factory=anyio.Event)
 
     @classmethod
@@ -43,7 +43,7 @@
         submit: Submit,
         session: PeerSession,
         now_s: float,
-    ) -> Work:
+    ) -> TrackedRequest:
         """Return the work of a request that arrived now."""
         return cls(
             submit,
@@ -53,7 +53,7 @@
         )
 
     @property
-    def batch(self) -> bool:
+    def is_batch(self) -> bool:
         """Tell whether online work goes before this."""
         return self.submit.work == 'batch'
 
@@ -63,11 +63,13 @@
         return self.answer.session
 
     @property
-    def progress(self) -> int:
+    def resume_cost(self) -> int:
         """Return the tokens that a resumed run would have to read again."""
         return self.submit.resume_tokens + self.tokens
 
-    def failure(self, ran: Ran, reason: str, retry_after_ms: int = 0) -> Failed:
+    def make_failed(
+        self, ran: Ran, reason: str, retry_after_ms: int = 0
+    ) -> Failed:
         """Return a failure with the whole text of this attempt."""
         return Failed(
             self.submit.request_id,
@@ -78,7 +80,7 @@
             self.tokens,
         )
 
-    def end(self) -> None:
+    def mark_done(self) -> None:
         """Note that nothing of the request runs any more."""
         self.state = 'done'
         self.ended.set()
@@ -90,4 +92,4 @@
         self.state = 'stopping'
         self.stop_reason = reason
         self.stop_s = now_s
-        self.scope.cancel()
+        self.cancel_scope.cancel()
--- a/tests/sidecar_rig.py
+++ b/tests/sidecar_rig.py
@@ -119,19 +119,19 @@
         """Send a message to the sidecar."""
         self.calls.session.send(message)
 
-    def all_of(self, kind: type[MessageT]) -> list[MessageT]:
+    def received(self, kind: type[MessageT]) -> list[MessageT]:
         """Return the messages of one kind that came."""
         return [one for one in self.inbox if isinstance(one, kind)]
 
-    async def next_of(
+    async def receive(
         self,
         kind: type[MessageT],
-        wanted: Callable[[MessageT], bool] = lambda _: True,
+        matches: Callable[[MessageT], bool] = lambda _: True,
     ) -> MessageT:
         """Wait for a message and take it out of the inbox."""
         while True:
-            for one in self.all_of(kind):
-                if wanted(one):
+            for one in self.received(kind):
+                if matches(one):
                     self.inbox.remove(one)
                     return one
             await anyio.sleep(0.002)
@@ -170,7 +170,7 @@
                     outcome.failed = event
         done.set()
 
-    async def granted(
+    async def obtain_grant(
         self,
         job_id: str = 'job',
         count: int = 1,
@@ -179,7 +179,7 @@
     ) -> BatchGrant:
         """Demand batch room and wait for a grant."""
         self.send(BatchDemand(pool, 'org', job_id, count, slack_s))
-        return await self.next_of(
+        return await self.receive(
             BatchGrant,
             lambda grant: grant.job_id == job_id,
         )
@@ -224,7 +224,7 @@
     return make_submit(prompt, tokens, **{**fields, **more})
 
 
-def whole(prompt: str, tokens: int) -> str:
+def full_answer(prompt: str, tokens: int) -> str:
     """Return the whole answer to a prompt."""
     return answer_text(prompt, tokens)
 
@@ -254,7 +254,7 @@
     async def restart_sidecar(self) -> None:
         """Start a new sidecar process beside the same engine."""
         await self.start_sidecar()
-        await until(lambda: self.sidecar.watch.up)
+        await until(lambda: self.sidecar.monitor.up)
 
     async def start_sidecar(self) -> None:
         """Start a sidecar whose end can be waited for."""
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -21,9 +21,9 @@
 from quetzaldyke.parts.limiter import AdaptiveLimit, Headroom, Samples
 from quetzaldyke.parts.suspects import SuspectBook
 from quetzaldyke.parts.timers import Clock
-from quetzaldyke.process.admission import Admission, Refusal
-from quetzaldyke.process.batch_grants import GRANT_LIFE_S, BatchGrants
-from quetzaldyke.process.work import Work
+from quetzaldyke.process.admission import AdmissionController, Refusal
+from quetzaldyke.process.batch_grants import GRANT_TTL_S, BatchGrants
+from quetzaldyke.process.tracked_request import TrackedRequest
 from quetzaldyke.version.configuration import Configuration, Organisation
 from sidecar_rig import make_submit
 
@@ -67,11 +67,11 @@
     session: Any = field(default_factory=FakeSession)
     refused: dict[str, Refusal] = field(default_factory=dict)
     started: list[str] = field(default_factory=list)
-    admission: Admission = field(init=False)
+    admission: AdmissionController = field(init=False)
 
     def __post_init__(self) -> None:
         """Open the admission."""
-        self.admission = Admission(
+        self.admission = AdmissionController(
             'pool',
             SLOTS,
             20,
@@ -84,19 +84,19 @@
         )
         self.admission.open()
 
-    def note_start(self, work: Work) -> None:
+    def note_start(self, request: TrackedRequest) -> None:
         """Keep what was started."""
-        self.started.append(work.submit.request_id)
+        self.started.append(request.submit.request_id)
 
-    def note_refusal(self, work: Work, refusal: Refusal) -> None:
+    def note_refusal(self, request: TrackedRequest, refusal: Refusal) -> None:
         """Keep what was refused."""
-        self.refused[work.submit.request_id] = refusal
+        self.refused[request.submit.request_id] = refusal
 
     def submit(self, **fields: Any) -> Submit:
         """Send a request in."""
         message = make_submit(**fields)
-        work = Work.from_submit(message, self.session, self.now_s)
-        self.admission.submit(work)
+        request = TrackedRequest.from_submit(message, self.session, self.now_s)
+        self.admission.submit(request)
         return message
 
     def demand(
@@ -109,8 +109,8 @@
     ) -> None:
         """Send a demand for batch room."""
         message = BatchDemand('pool', organisation, job_id, count, slack_s)
-        self.admission.grants.demand(session or self.session, message)
-        self.admission.pump()
+        self.admission.grants.set_demand(session or self.session, message)
+        self.admission.schedule()
 
     def use_grants(self) -> None:
         """Start an item for each granted place."""
@@ -124,10 +124,10 @@
                     job_id=grant.job_id,
                 )
 
-    def release(self, work: Work) -> None:
+    def release(self, request: TrackedRequest) -> None:
         """Note the end of a stream at the engine."""
-        self.admission.release(work)
-        self.admission.pump()
+        self.admission.release(request)
+        self.admission.schedule()
 
 
 OPERATIONS = st.sampled_from(
@@ -155,7 +155,7 @@
                 endpoint.release(running[-1])
             case 'later':
                 endpoint.now_s += 0.5
-                endpoint.admission.pump()
+                endpoint.admission.schedule()
         check_limits(endpoint)
 
 
@@ -164,16 +164,16 @@
     admission = endpoint.admission
     assert len(admission.running) <= SLOTS
     stopping = sum(
-        work.state == 'stopping' for work in admission.running.values()
+        request.state == 'stopping' for request in admission.running.values()
     )
     waiting = len(admission.queue)
-    assert not waiting or admission.free == 0
-    assert stopping >= min(waiting, admission.count(batch=True))
+    assert not waiting or admission.free_slots == 0
+    assert stopping >= min(waiting, admission.running_count(batch=True))
 
 
 @pytest.mark.parametrize(
     ('age_s', 'starts'),
-    [(0.0, True), (GRANT_LIFE_S - 0.01, True), (GRANT_LIFE_S, False)],
+    [(0.0, True), (GRANT_TTL_S - 0.01, True), (GRANT_TTL_S, False)],
 )
 @in_loop
 def test_grants_expire(age_s: float, starts: bool) -> None:
@@ -224,7 +224,7 @@
 def test_urgency_goes_before_past_use() -> None:
     """Guards against a late job that waits because its owner used much."""
     endpoint = Endpoint()
-    endpoint.admission.grants.use['busy'] = 50.0
+    endpoint.admission.grants.recent_use['busy'] = 50.0
     for number in range(SLOTS):
         endpoint.submit(prompt=f'online {number}')
     endpoint.now_s += 60.0
@@ -279,9 +279,11 @@
     other = endpoint.submit()
     assert other.request_id not in endpoint.started
     running = list(endpoint.admission.running.values())
-    assert [work.state for work in running if work.batch] == 2 * ['stopping']
-    for work in running:
-        endpoint.release(work)
+    assert [request.state for request in running if request.is_batch] == 2 * [
+        'stopping'
+    ]
+    for request in running:
+        endpoint.release(request)
     assert endpoint.started[-1] == suspect.request_id
     endpoint.release(next(iter(endpoint.admission.running.values())))
     assert endpoint.started[-1] == other.request_id
--- a/tests/test_entry_requests.py
+++ b/tests/test_entry_requests.py
@@ -60,7 +60,7 @@
                 )
 
             def busy() -> bool:
-                works = fleet.sidecar('engine-1').streams.works.values()
+                works = fleet.sidecar('engine-1').runner.requests.values()
                 return any(work.tokens > 20 for work in works)
 
             async with anyio.create_task_group() as group:
--- a/tests/test_sidecar_batch.py
+++ b/tests/test_sidecar_batch.py
@@ -30,7 +30,7 @@
     make_rig,
     make_submit,
     until,
-    whole,
+    full_answer,
 )
 
 LONG = 100_000
@@ -42,14 +42,14 @@
     async def scenario() -> None:
         async with make_rig() as rig:
             entry = await rig.entry()
-            grant = await entry.granted()
+            grant = await entry.obtain_grant()
             forged = make_item(grant, 'item', 4, grant_id=grant.grant_id + 1)
             refused = await entry.ask(forged)
             assert refused.failed is not None
             assert refused.failed.reason == 'no valid grant'
             assert rig.engine.counts.requests == 0
             done = await entry.ask(make_item(grant, 'item', 4))
-            assert done.text == whole('item', 4)
+            assert done.text == full_answer('item', 4)
             spent = await entry.ask(make_item(grant, 'item', 4))
             assert spent.failed is not None
             assert spent.failed.ran == 'not_run'
@@ -63,7 +63,7 @@
     **more: Any,
 ) -> Outcome:
     """Start a long batch item and wait until it has produced text."""
-    grant = await entry.granted()
+    grant = await entry.obtain_grant()
     outcome, _ = entry.begin(make_item(grant, prompt, LONG, **more))
     await until(lambda: len(outcome.texts) > 3 or outcome.failed is not None)
     return outcome
@@ -82,32 +82,32 @@
     async def scenario() -> None:
         async with make_rig(max_streams=2) as rig:
             entry = await rig.entry()
-            grant = await entry.granted()
+            grant = await entry.obtain_grant()
             item, done = entry.begin(make_item(grant, 'item', 300))
             await until(lambda: len(item.texts) > 3)
             first, _ = entry.begin(make_submit('first', 20))
             await until(lambda: first.started)
             assert item.failed is None
             second = await entry.ask(make_submit('second', 20))
-            assert second.text == whole('second', 20)
+            assert second.text == full_answer('second', 20)
             await done.wait()
             assert item.failed is not None
             assert item.failed.ran == 'ran'
             assert item.failed.reason == 'preempted'
             partial = item.failed.partial_text
             produced = item.failed.partial_tokens
-            assert partial == whole('item', produced)
+            assert partial == full_answer('item', produced)
             assert partial.startswith(item.text)
             resumed = await entry.ask(
                 make_item(
-                    await entry.granted(),
+                    await entry.obtain_grant(),
                     'item',
                     300,
                     resume_text=partial,
                     resume_tokens=produced,
                 ),
             )
-            assert partial + resumed.text == whole('item', 300)
+            assert partial + resumed.text == full_answer('item', 300)
 
     anyio.run(scenario)
 
@@ -135,8 +135,8 @@
             ]
             for number, (outcome, done) in enumerate(waits):
                 await done.wait()
-                assert outcome.text == whole(f'p{number}', 5)
-            assert rig.sidecar.admission.count(batch=True) < 3
+                assert outcome.text == full_answer(f'p{number}', 5)
+            assert rig.sidecar.admission.running_count(batch=True) < 3
 
     anyio.run(scenario)
     assert most == 3
@@ -164,7 +164,7 @@
     async def scenario() -> None:
         async with make_rig(max_streams=3) as rig:
             entry = await rig.entry()
-            grant = await entry.granted(count=100)
+            grant = await entry.obtain_grant(count=100)
             assert grant.count == 3
             await fill_with_online(rig, entry, 3)
             late = await entry.ask(make_item(grant, 'item', 4))
@@ -182,9 +182,9 @@
         async with make_rig(engine={'keep_orphans': True}) as rig:
             entry = await rig.entry()
             item = await start_item(entry)
-            grant = await entry.granted()
+            grant = await entry.obtain_grant()
             entry.send(CancelJob('job'))
-            await entry.next_of(JobStopped)
+            await entry.receive(JobStopped)
             assert not rig.engine.batch.ids()
             await until(lambda: item.failed is not None)
             assert item.failed is not None
@@ -219,9 +219,9 @@
             entry.send(CancelJob('job'))
             for _ in range(3):
                 await entry.ask(make_submit())
-            assert not entry.all_of(JobStopped)
+            assert not entry.received(JobStopped)
             confirmed.set()
-            await entry.next_of(JobStopped)
+            await entry.receive(JobStopped)
 
     anyio.run(scenario)
 
@@ -235,19 +235,21 @@
             urgent = await rig.entry('entry-2')
             await fill_with_online(rig, patient, 1)
             running = rig.sidecar.admission.running
-            [work] = running.values()
-            early = patient.granted('patient', slack_s=9000)
-            late = urgent.granted('urgent', slack_s=30)
+            [request] = running.values()
+            early = patient.obtain_grant('patient', slack_s=9000)
+            late = urgent.obtain_grant('urgent', slack_s=30)
             demands = rig.sidecar.admission.grants.demands
             with anyio.move_on_after(0.1):
                 await early
             with anyio.move_on_after(0.1):
                 await late
             assert len(demands) == 2
-            patient.calls.abandon(patient.calls.calls[work.submit.request_id])
-            grant = await urgent.next_of(BatchGrant)
+            patient.calls.abandon(
+                patient.calls.calls[request.submit.request_id]
+            )
+            grant = await urgent.receive(BatchGrant)
             assert grant.job_id == 'urgent'
-            assert not patient.all_of(BatchGrant)
+            assert not patient.received(BatchGrant)
 
     anyio.run(scenario)
 
@@ -264,14 +266,14 @@
         async with make_rig(max_streams=8) as rig:
             entry = await rig.entry()
             with anyio.move_on_after(0.1):
-                await entry.granted(pool='other', count=5)
-            assert not entry.all_of(BatchGrant)
+                await entry.obtain_grant(pool='other', count=5)
+            assert not entry.received(BatchGrant)
             entry.send(ConfigPush(3, pack_document(configuration)))
-            grant = await entry.granted(pool='other', count=5)
+            grant = await entry.obtain_grant(pool='other', count=5)
             assert (grant.pool, grant.count) == ('other', 2)
             entry.send(ConfigPush(2, pack_document(Configuration())))
             lent = await entry.ask(make_item(grant, 'item', 4))
-            assert lent.text == whole('item', 4)
+            assert lent.text == full_answer('item', 4)
             assert rig.sidecar.config.version == 3
 
     anyio.run(scenario)
@@ -283,9 +285,9 @@
     async def scenario() -> None:
         async with make_rig(max_streams=3) as rig:
             entry = await rig.entry()
-            await entry.next_of(Report, lambda report: report.batch_room == 3)
+            await entry.receive(Report, lambda report: report.batch_room == 3)
             await fill_with_online(rig, entry, 3)
-            await entry.next_of(
+            await entry.receive(
                 Report,
                 lambda report: (
                     (report.online_running, report.batch_room) == (3, 0)
--- a/tests/test_sidecar_crashes.py
+++ b/tests/test_sidecar_crashes.py
@@ -9,14 +9,14 @@
 import pytest
 
 from quetzaldyke.connection.messages import SuspectUpdate
-from quetzaldyke.process.admission import CONFIRMED_REASON
+from quetzaldyke.process.admission import CRASHING_REQUEST_REASON
 from sidecar_rig import (
     EntryClient,
     Rig,
     make_rig,
     make_submit,
     until,
-    whole,
+    full_answer,
 )
 
 ENDPOINTS = 5
@@ -47,7 +47,7 @@
     """Forward each update to the other sidecars, as an entry does."""
     while True:
         for _, entry in fleet:
-            for update in entry.all_of(SuspectUpdate):
+            for update in entry.received(SuspectUpdate):
                 entry.inbox.remove(update)
                 for _, other in fleet:
                     if other is not entry:
@@ -71,7 +71,7 @@
             break
         assert outcome.failed is not None
         text = outcome.failed.reason
-        if text == CONFIRMED_REASON:
+        if text == CRASHING_REQUEST_REASON:
             break
         await anyio.sleep(0.02)
     return text
@@ -103,13 +103,13 @@
                 )
                 group.start_soon(ask, CRASHING, 60, 0)
             again = await ask_until_answered(fleet, CRASHING, 60, 3)
-            assert again == CONFIRMED_REASON
+            assert again == CRASHING_REQUEST_REASON
             crashes = [rig.engine.counts.crashes for rig, _ in fleet]
             assert 2 <= sum(crashes) <= 3
 
     anyio.run(scenario)
-    assert answers.pop(CRASHING) == CONFIRMED_REASON
-    assert answers == {prompt: whole(prompt, 60) for prompt in answers}
+    assert answers.pop(CRASHING) == CRASHING_REQUEST_REASON
+    assert answers == {prompt: full_answer(prompt, 60) for prompt in answers}
 
 
 def test_taking_part_in_the_confirming_crash_is_ran() -> None:
@@ -120,14 +120,14 @@
             entry = await rig.entry()
             rans: list[str] = []
             while 'ran' not in rans:
-                await until(lambda: rig.sidecar.watch.up)
+                await until(lambda: rig.sidecar.monitor.up)
                 outcome = await entry.ask(make_submit(CRASHING))
                 assert outcome.failed is not None
                 rans.append(outcome.failed.ran)
             last = await entry.ask(make_submit(CRASHING))
             assert last.failed is not None
             assert last.failed.ran == 'not_run'
-            assert last.failed.reason == CONFIRMED_REASON
+            assert last.failed.reason == CRASHING_REQUEST_REASON
             assert rig.engine.counts.crashes <= 3
 
     anyio.run(scenario)
@@ -143,17 +143,17 @@
             await until(lambda: outcome.started)
             await entry.ask(make_submit(CRASHING))
             await done.wait()
-            crash = await entry.next_of(SuspectUpdate)
+            crash = await entry.receive(SuspectUpdate)
             assert set(crash.crashes) == {'fp-innocent', f'fp-{CRASHING}'}
-            await until(lambda: rig.sidecar.watch.up)
+            await until(lambda: rig.sidecar.monitor.up)
             again = await entry.ask(make_submit('innocent', 5))
-            assert again.text == whole('innocent', 5)
-            cleared = await entry.next_of(SuspectUpdate)
+            assert again.text == full_answer('innocent', 5)
+            cleared = await entry.receive(SuspectUpdate)
             assert cleared.cleared == {
                 'fp-innocent': crash.crashes['fp-innocent'],
             }
             late = await rig.entry('entry-2')
-            known = await late.next_of(SuspectUpdate)
+            known = await late.receive(SuspectUpdate)
             assert known.cleared == cleared.cleared
 
     anyio.run(scenario)
@@ -176,7 +176,7 @@
                 assert outcome.failed.ran == 'unknown'
             else:
                 rig.engine.faults.down = True
-                await until(lambda: not rig.sidecar.watch.up)
+                await until(lambda: not rig.sidecar.monitor.up)
             assert not rig.sidecar.peers.suspects.crashes
 
     anyio.run(scenario)
@@ -191,12 +191,12 @@
             second = await rig.entry('entry-2')
             crash_id = f'{rig.sidecar.peers.now_ms()}/elsewhere/1'
             first.send(SuspectUpdate({'fp-x': [crash_id]}, {}))
-            update = await second.next_of(SuspectUpdate)
+            update = await second.receive(SuspectUpdate)
             assert update.crashes == {'fp-x': [crash_id]}
             first.send(SuspectUpdate({'fp-x': [crash_id]}, {}))
             await first.ask(make_submit())
-            assert not second.all_of(SuspectUpdate)
-            assert not first.all_of(SuspectUpdate)
+            assert not second.received(SuspectUpdate)
+            assert not first.received(SuspectUpdate)
 
     anyio.run(scenario)
 
@@ -220,11 +220,11 @@
             first, first_done = entry.begin(make_submit('one', 60))
             second, second_done = entry.begin(make_submit('two', 60))
             clear = await entry.ask(make_submit('clear', 5))
-            assert clear.text == whole('clear', 5)
+            assert clear.text == full_answer('clear', 5)
             assert first.started
             assert not second.started
             await first_done.wait()
             await second_done.wait()
-            assert second.text == whole('two', 60)
+            assert second.text == full_answer('two', 60)
 
     anyio.run(scenario)
--- a/tests/test_sidecar_life.py
+++ b/tests/test_sidecar_life.py
@@ -24,7 +24,7 @@
 from quetzaldyke.parts.timers import Clock
 from quetzaldyke.process import sidecar_messages
 from quetzaldyke.process.sidecar import run_sidecar
-from quetzaldyke.process.sidecar_drain import POLL_S
+from quetzaldyke.process.sidecar_drain import POLL_INTERVAL_S
 from quetzaldyke.process.sidecar_peers import SidecarPeers
 from quetzaldyke.version.configuration import (
     Configuration,
@@ -32,7 +32,7 @@
     pack_document,
 )
 from quetzaldyke.version.holder import ConfigHolder
-from sidecar_rig import make_item, make_rig, make_submit, until, whole
+from sidecar_rig import make_item, make_rig, make_submit, until, full_answer
 
 PACKED = pack_document(Configuration(pools={'pool': Pool()}))
 
@@ -43,7 +43,7 @@
     async def scenario() -> None:
         async with make_rig(max_streams=6) as rig:
             entry = await rig.entry()
-            grant = await entry.granted()
+            grant = await entry.obtain_grant()
             item, item_done = entry.begin(make_item(grant, 'item', 5000))
             await until(lambda: len(item.texts) > 1)
             answers = [
@@ -54,7 +54,7 @@
             call = entry.calls.begin(slow)
             await until(lambda: call.started)
             rig.sidecar.stopping.set()
-            notice = await entry.next_of(LeavingNotice)
+            notice = await entry.receive(LeavingNotice)
             assert notice.instance == 'sidecar-1'
             late = await entry.ask(make_submit('late', 4))
             assert late.failed is not None
@@ -65,9 +65,9 @@
             assert item.failed.partial_text.startswith(item.text)
             for number, (outcome, done) in enumerate(answers):
                 await done.wait()
-                assert outcome.text == whole(f'p{number}', 60)
+                assert outcome.text == full_answer(f'p{number}', 60)
             await until(lambda: not rig.sidecar.admission.running)
-            await anyio.sleep(5 * POLL_S)
+            await anyio.sleep(5 * POLL_INTERVAL_S)
             assert not rig.done.is_set()
             text = ''
             while not call.finished:
@@ -75,7 +75,7 @@
                 await anyio.sleep(0.002)
             async for event in call.source:
                 text += getattr(event, 'text', '')
-            assert text == whole('slow', 200)
+            assert text == full_answer('slow', 200)
             await rig.done.wait()
 
     anyio.run(scenario)
@@ -96,10 +96,10 @@
             assert queued.failed is not None
             assert queued.failed.ran == 'not_run'
             await done.wait()
-            assert running.text == whole('running', 100)
-            await entry.next_of(Report, lambda report: report.leaving)
+            assert running.text == full_answer('running', 100)
+            await entry.receive(Report, lambda report: report.leaving)
             later = await rig.entry('entry-2')
-            await later.next_of(LeavingNotice)
+            await later.receive(LeavingNotice)
 
     anyio.run(scenario)
 
@@ -118,7 +118,7 @@
             with pytest.raises(ExceptionGroup):
                 await run_sidecar(second)
             await done.wait()
-            assert outcome.text == whole('hello', 100)
+            assert outcome.text == full_answer('hello', 100)
 
     anyio.run(scenario)
 
@@ -132,22 +132,22 @@
             entry = await rig.entry()
             running, done = entry.begin(make_submit('running', 100_000))
             await until(lambda: len(running.texts) > 1)
-            grant = await entry.granted()
+            grant = await entry.obtain_grant()
             assert entry.session is not None
             [session] = rig.sidecar.peers.sessions()
             rig.sidecar.timers.clock.read = lambda: time.monotonic() + 10
             if message_comes_first:
-                handle = sidecar_messages.make_handler(rig.sidecar)
+                handle = sidecar_messages.make_message_handler(rig.sidecar)
                 for late in (make_item(grant, 'item', 4), make_submit()):
                     await handle(session, late)
-                    assert late.request_id not in rig.sidecar.streams.works
+                    assert late.request_id not in rig.sidecar.runner.requests
             await done.wait()
             await until(lambda: not rig.engine.batch.ids())
             assert rig.engine.counts.requests == 1
             assert not rig.sidecar.admission.grants.grants
             again = await rig.entry()
             answered = await again.ask(make_submit('again', 4))
-            assert answered.text == whole('again', 4)
+            assert answered.text == full_answer('again', 4)
 
     anyio.run(scenario)
 
@@ -161,18 +161,18 @@
             second = await rig.entry('entry-2')
             await second.ask(make_submit())
             first.send(ConfigPush(5, PACKED))
-            await second.next_of(ConfigVersion)
+            await second.receive(ConfigVersion)
             await second.ask(make_submit())
-            [passed_on] = second.all_of(ConfigPush)
+            [passed_on] = second.received(ConfigPush)
             assert passed_on == ConfigPush(5, PACKED)
-            assert (await first.next_of(ConfigVersion)).version == 5
+            assert (await first.receive(ConfigVersion)).version == 5
             second.send(ConfigPush(4, pack_document(Configuration())))
             second.send(ConfigVersion(5))
             late = await rig.entry('entry-3')
-            assert await late.next_of(ConfigPush) == passed_on
+            assert await late.receive(ConfigPush) == passed_on
             assert rig.sidecar.config.version == 5
             assert 'pool' in rig.sidecar.config.current.pools
-            assert not first.all_of(ConfigPush)
+            assert not first.received(ConfigPush)
 
     anyio.run(scenario)
 
@@ -245,12 +245,12 @@
             submit = make_submit()
             await entry.ask(submit)
             entry.send(EventsRequest(3, submit.request_id, 10))
-            reply = await entry.next_of(EventsReply)
+            reply = await entry.receive(EventsReply)
             assert (reply.query_id, reply.process) == (3, 'sidecar-1')
             names = [row[1] for row in reply.rows]
             assert names == ['request_started', 'request_finished']
             entry.send(EventsRequest(4, submit.request_id, 1))
-            short = await entry.next_of(EventsReply)
+            short = await entry.receive(EventsReply)
             assert short.rows == reply.rows[-1:]
 
     anyio.run(scenario)
--- a/tests/test_sidecar_orders.py
+++ b/tests/test_sidecar_orders.py
@@ -25,7 +25,7 @@
     """Ask for a nonce for a new order."""
     order_id = f'order-{next(numbers)}'
     entry.send(OrderPrepare(order_id))
-    return await entry.next_of(
+    return await entry.receive(
         OrderNonce,
         lambda answer: answer.order_id == order_id,
     )
@@ -41,7 +41,7 @@
     entry.send(
         Order(nonce.order_id, nonce.nonce, token, 'load', model, '2', '', ''),
     )
-    return await entry.next_of(
+    return await entry.receive(
         OrderResult,
         lambda outcome: outcome.order_id == nonce.order_id,
     )
@@ -67,7 +67,7 @@
             new = await rig.entry('entry-new')
             done = await give(new, await prepare(new), token=7)
             assert done.accepted
-            await new.next_of(
+            await new.receive(
                 Report,
                 lambda report: (
                     (report.model, report.fencing_token) == ('new-model', 7)
--- a/tests/test_sidecar_relay.py
+++ b/tests/test_sidecar_relay.py
@@ -9,7 +9,7 @@
 import pytest
 
 from quetzaldyke.connection.messages import Cancel, Window
-from sidecar_rig import make_rig, make_submit, until, whole
+from sidecar_rig import make_rig, make_submit, until, full_answer
 
 
 @pytest.mark.parametrize('tokens', [1, 8, 300])
@@ -20,7 +20,7 @@
         async with make_rig(engine={'step_ms': 0.5}) as rig:
             entry = await rig.entry()
             outcome = await entry.ask(make_submit('hello', tokens))
-            assert outcome.text == whole('hello', tokens)
+            assert outcome.text == full_answer('hello', tokens)
             assert outcome.end is not None
             assert outcome.end.completion_tokens == tokens
             assert outcome.end.finish_reason == 'length'
@@ -38,11 +38,13 @@
                 make_submit(
                     'hello',
                     8,
-                    resume_text=whole('hello', 3),
+                    resume_text=full_answer('hello', 3),
                     resume_tokens=3,
                 ),
             )
-            assert whole('hello', 3) + outcome.text == whole('hello', 8)
+            assert full_answer('hello', 3) + outcome.text == full_answer(
+                'hello', 8
+            )
 
     anyio.run(scenario)
 
@@ -100,15 +102,15 @@
             assert outcome.failed is not None
             assert outcome.failed.ran == 'unknown'
             text = outcome.failed.partial_text
-            assert text == whole('hello', outcome.failed.partial_tokens)
+            assert text == full_answer('hello', outcome.failed.partial_tokens)
             assert text.startswith(outcome.text)
             refused = await entry.ask(make_submit())
             assert refused.failed is not None
             assert refused.failed.ran == 'not_run'
             rig.engine.faults.down = False
-            await until(lambda: rig.sidecar.watch.up)
+            await until(lambda: rig.sidecar.monitor.up)
             again = await entry.ask(make_submit())
-            assert again.text == whole('hello', 8)
+            assert again.text == full_answer('hello', 8)
 
     anyio.run(scenario)
 
@@ -123,18 +125,18 @@
             call = entry.calls.begin(slow)
             await until(lambda: bool(rig.engine.counts.finished))
             await until(lambda: not rig.sidecar.admission.running)
-            work = rig.sidecar.streams.works[slow.request_id]
-            assert work.answer.credit == 0
+            request = rig.sidecar.runner.requests[slow.request_id]
+            assert request.answer.credit == 0
             other = await entry.ask(make_submit('other', 200))
-            assert other.text == whole('other', 200)
+            assert other.text == full_answer('other', 200)
             text = ''
             while not call.finished:
                 entry.send(Window(slow.request_id, 1))
                 await anyio.sleep(0.002)
             async for event in call.source:
                 text += getattr(event, 'text', '')
-            assert text == whole('slow', 400)
-            assert slow.request_id not in rig.sidecar.streams.works
+            assert text == full_answer('slow', 400)
+            assert slow.request_id not in rig.sidecar.runner.requests
 
     anyio.run(scenario)
 
@@ -154,7 +156,7 @@
             else:
                 entry.send(Cancel(submit.request_id))
             await until(lambda: not rig.engine.batch.ids())
-            await until(lambda: not rig.sidecar.streams.works)
+            await until(lambda: not rig.sidecar.runner.requests)
 
     anyio.run(scenario)
 
@@ -188,11 +190,11 @@
                 ]
                 for number, (outcome, done) in enumerate(answers):
                     await done.wait()
-                    assert outcome.text == whole(f'p{number}', 8)
+                    assert outcome.text == full_answer(f'p{number}', 8)
                 rig.engine.faults.down = True
-                await until(lambda: not rig.sidecar.watch.up)
+                await until(lambda: not rig.sidecar.monitor.up)
                 rig.engine.faults.down = False
-                await until(lambda: rig.sidecar.watch.up)
+                await until(lambda: rig.sidecar.monitor.up)
 
     anyio.run(scenario)
 
@@ -205,10 +207,10 @@
             entry = await rig.entry()
             outcome, done = entry.begin(make_submit('hello', 100))
             await until(lambda: len(outcome.texts) > 1)
-            rig.sidecar.watch.up = False
-            await rig.sidecar.watch.come_up()
+            rig.sidecar.monitor.up = False
+            await rig.sidecar.monitor.bring_up()
             await done.wait()
-            assert outcome.text == whole('hello', 100)
+            assert outcome.text == full_answer('hello', 100)
 
     anyio.run(scenario)
 
@@ -226,10 +228,10 @@
             refused = await second.ask(submit)
             assert refused.failed is not None
             assert refused.failed.ran == 'not_run'
-            work = rig.sidecar.streams.works[submit.request_id]
-            assert work.session.remote.instance == 'entry-1'
+            request = rig.sidecar.runner.requests[submit.request_id]
+            assert request.session.remote.instance == 'entry-1'
             await done.wait()
-            assert outcome.text == whole('hello', 200)
+            assert outcome.text == full_answer('hello', 200)
 
     anyio.run(scenario)
 
--- a/tests/test_sidecar_service.py
+++ b/tests/test_sidecar_service.py
@@ -41,7 +41,7 @@
                 pool='pool',
             )
             sidecar = await group.start(run_sidecar, settings)
-            await until(lambda: sidecar.watch.up)
+            await until(lambda: sidecar.monitor.up)
             entry = EntryClient('entry-1', group)
             await entry.connect(sidecar.peer_address)
             yield service, entry, sidecar
@@ -100,12 +100,12 @@
             )
             call = entry.calls.begin(submit)
             await until(lambda: call.next_seq == 64)
-            work = sidecar.streams.works[submit.request_id]
-            await until(lambda: work.answer.full)
+            request = sidecar.runner.requests[submit.request_id]
+            await until(lambda: request.answer.full)
             small = await entry.ask(booking('b1'))
             assert small.end is not None
             assert not call.finished
-            waiting = work.answer.waiting_bytes
+            waiting = request.answer.waiting_bytes
             assert waiting < READ_AHEAD_BYTES + PART_BYTES
             body = b''
             while not call.finished:
