--- a/src/quetzaldyke/process/admission.py
+++ b/src/quetzaldyke/process/admission.py
@@ -1,8 +1,9 @@
-"""Admission at one endpoint: online queue, batch room and preemption.
+"""Admission control at one endpoint: online queue, batch room, preemption.
 
-The endpoint knows no priorities, so it gets no more streams than it runs at
-once, and batch work only into slots that online work is not expected to
-need. Everything here is decided in this process without agreement.
+The endpoint does not prioritise requests. It is therefore never given more
+streams than it runs at once, and batch requests only get slots that online
+requests are not expected to need. All decisions are local to this process and
+need no coordination.
 """
 
 from __future__ import annotations
@@ -17,15 +18,15 @@
 from quetzaldyke.process.batch_grants import BatchGrants
 from quetzaldyke.process.tracked_request import MS_IN_S, TrackedRequest
 
-# Least and most time that a refused caller is told to wait.
+# Bounds of the retry delay that a refused caller is told.
 MIN_RETRY_MS: Final = 50
 MAX_RETRY_MS: Final = 5000
 RUN_TIME_EWMA_WEIGHT: Final = 0.1
 INITIAL_RUN_S: Final = 1.0
-# An online request that must run alone is given the endpoint after this
-# wait; until then others go before it.
+# After this wait, an online request that must run alone is the next to start;
+# until then, other requests may start before it.
 EXCLUSIVE_WAIT_S: Final = 0.5
-# Cancelled jobs that are remembered; one job id takes about 100 bytes.
+# Number of cancelled jobs to remember; one job id takes about 100 bytes.
 MAX_CANCELLED_JOBS: Final = 50_000
 
 CRASHING_REQUEST_REASON: Final = 'crashes_endpoints'
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Why a request was not run."""
+    """Why a request is not run, and when the caller may try again."""
 
     reason: str
     retry_after_ms: int = 0
@@ -41,7 +42,7 @@
 
 @dataclass(slots=True)
 class AdmissionController:
-    """What runs and what waits at one endpoint."""
+    """Running and queued requests of one endpoint."""
 
     pool: str
     max_streams: int
@@ -58,26 +59,26 @@
     cancelled_jobs: dict[str, None] = field(default_factory=dict)
     closed_reason: str = 'starting'  # empty while work is admitted
     mean_run_s: float = INITIAL_RUN_S
-    last_start_s: float = 0.0  # when the latest request was started
+    last_start_s: float = 0.0  # when a request was last started
 
     @property
     def slots(self) -> int:
-        """Return the streams that the endpoint may run now."""
+        """Return the number of streams that the endpoint may run at once."""
         return min(self.limit.limit, self.max_streams)
 
     @property
     def free_slots(self) -> int:
-        """Return the slots without a stream."""
+        """Return the number of unused slots; negative after the limit fell."""
         return self.slots - len(self.running)
 
     def running_count(self, batch: bool) -> int:
-        """Return the running streams of one class."""
+        """Return the number of running batch or online streams."""
         return sum(
             request.is_batch is batch for request in self.running.values()
         )
 
     def running_batch_by_pool(self) -> dict[str, int]:
-        """Return the running batch streams of each pool."""
+        """Return the number of running batch streams of each pool."""
         counts: dict[str, int] = {}
         for request in self.running.values():
             if request.is_batch:
@@ -87,12 +88,15 @@
 
     @property
     def batch_room(self) -> int:
-        """Return the slots that batch may still take."""
+        """Return how many more batch streams may start now.
+
+        This is 0 while admission is closed or a request is due to run alone.
+        """
         if self.closed_reason or self.exclusive_waiting() is not None:
             return 0
-        taken = len(self.running) + len(self.queue)
+        occupied = len(self.running) + len(self.queue)
         kept_free = self.headroom.slots(self.slots, self.clock.now())
-        return max(0, self.slots - taken - kept_free)
+        return max(0, self.slots - occupied - kept_free)
 
     def submit(self, request: TrackedRequest) -> None:
         """Start, queue or refuse a request that arrived."""
@@ -111,7 +115,7 @@
         self.schedule()
 
     def check(self, request: TrackedRequest) -> Refusal | None:
-        """Check what holds for both classes."""
+        """Return a refusal that applies to both classes, or None."""
         if self.suspects.verdict(request.submit.fingerprint) == 'confirmed':
             return Refusal(CRASHING_REQUEST_REASON)
         if self.closed_reason:
@@ -123,7 +127,11 @@
         return None
 
     def check_batch(self, request: TrackedRequest) -> Refusal | None:
-        """Check the grant and the room of a batch item."""
+        """Return why a batch item is refused, or None.
+
+        Only a cancelled job leaves the grant as it is; otherwise one item of a
+        valid grant is used up, even if the item is then refused.
+        """
         submit = request.submit
         if submit.job_id in self.cancelled_jobs:
             return Refusal('job_cancelled')
@@ -137,7 +145,11 @@
         return None
 
     def check_online(self, request: TrackedRequest) -> Refusal | None:
-        """Refuse what would wait too long or borrows too much."""
+        """Return why an online request is refused, or None.
+
+        It is refused if its pool may not use another slot, if the queue is
+        full or if the expected wait exceeds its deadline.
+        """
         pool = request.submit.pool
         if pool != self.pool and not self.lends_online(pool):
             return Refusal('pool is not lent', MIN_RETRY_MS)
@@ -151,7 +163,7 @@
         return None
 
     def lends_online(self, pool: str) -> bool:
-        """Tell whether another pool's online work may take one more slot."""
+        """Tell whether another pool's online work may use one more slot."""
         slots = self.grants.slot_quota(
             pool, 'online', at_risk=False, limit=self.slots
         )
@@ -165,8 +177,7 @@
     def expected_wait_ms(self) -> int:
         """Estimate the wait of a new online request.
 
-        Batch streams give their slots up, so they don't count as waiting
-        time.
+        Batch streams are preempted for online requests and add no wait.
         """
         ahead = (
             len(self.queue) + self.running_count(batch=False) + 1 - self.slots
@@ -176,7 +187,7 @@
         return int(ahead * self.mean_run_s * MS_IN_S / self.slots)
 
     def schedule(self) -> None:
-        """Start what fits, make room for online work, grant the rest."""
+        """Refuse expired requests, start others, preempt and issue grants."""
         now_s = self.clock.now()
         self.refuse_expired(now_s)
         waiting = self.start_online(now_s)
@@ -192,7 +203,11 @@
             self.refuse(request, Refusal('deadline has passed'))
 
     def start_online(self, now_s: float) -> int:
-        """Start queued requests; return how many wait only for a slot."""
+        """Start queued requests; return how many still wait only for a slot.
+
+        Once a request is due to run alone, no other is started. While it has
+        to wait, `max_streams` is returned, so that all batch is preempted.
+        """
         if self.free_slots <= 0 and not self.suspects.crashes:
             return len(self.queue)
         waiting = 0
@@ -214,7 +229,7 @@
         return waiting
 
     def dispatch(self, request: TrackedRequest) -> None:
-        """Hand a request to the endpoint."""
+        """Start a request at the endpoint."""
         request.state = 'running'
         request.started_s = self.clock.now()
         self.last_start_s = request.started_s
@@ -226,27 +241,31 @@
         self.start(request)
 
     def can_run_now(self, request: TrackedRequest) -> bool:
-        """Tell whether a request may run beside what runs now."""
+        """Tell whether a request may run beside the running requests.
+
+        A suspect runs only beside clear requests, and a request with the
+        verdict `alone` runs beside no other.
+        """
         if not self.suspects.crashes or not self.running:
             return True
         verdict = self.suspects.verdict(request.submit.fingerprint)
-        beside = {
+        running_verdicts = {
             self.suspects.verdict(other.submit.fingerprint)
             for other in self.running.values()
         }
-        if verdict == 'alone' or beside & {'alone', 'confirmed'}:
+        if verdict == 'alone' or running_verdicts & {'alone', 'confirmed'}:
             return False
-        return verdict == 'clear' or beside == {'clear'}
+        return verdict == 'clear' or running_verdicts == {'clear'}
 
     def preempt_suspect_batch(self, now_s: float) -> None:
-        """Preempt batch suspects that an online request can't run beside."""
+        """Preempt suspect batch streams that block an online request."""
         for request in self.running.values():
             verdict = self.suspects.verdict(request.submit.fingerprint)
             if request.is_batch and verdict != 'clear':
                 request.stop('preempted', now_s)
 
     def exclusive_waiting(self) -> TrackedRequest | None:
-        """Return a queued request that is owed the endpoint for itself."""
+        """Return a queued request that is due to run alone, or None."""
         if not self.suspects.crashes:
             return None
         latest_s = self.clock.now() - EXCLUSIVE_WAIT_S
@@ -257,10 +276,11 @@
         return None
 
     def preempt(self, waiting: int, now_s: float) -> None:
-        """Cancel batch streams until each waiting request gets a slot.
+        """Preempt batch streams until each waiting request gets a slot.
 
-        Slots that are being freed already count. The stream with the least
-        text to read again on resumption goes first, the newest of equals.
+        Slots of streams that are already stopping count as free. The stream
+        with the fewest tokens to read again on resumption is stopped first; of
+        equal ones, the most recently started.
         """
         freeing = sum(
             request.state == 'stopping' for request in self.running.values()
@@ -280,7 +300,7 @@
             request.stop('preempted', now_s)
 
     def issue_grants(self, now_s: float) -> None:
-        """Grant the batch room that is not granted yet."""
+        """Issue grants for the batch room that no grant covers yet."""
         self.grants.expire(now_s)
         if not self.grants.demands:
             return
@@ -296,7 +316,10 @@
             session.send(grant)
 
     def release(self, request: TrackedRequest) -> None:
-        """Free the slot of a request that ended at the endpoint."""
+        """Free the slot of a request that ended at the endpoint.
+
+        Its times update the estimates of preemption and run time.
+        """
         self.running.pop(request.submit.request_id, None)
         now_s = self.clock.now()
         if request.stop_reason == 'preempted':
@@ -307,7 +330,7 @@
         request.mark_done()
 
     def cancel(self, request: TrackedRequest, reason: str) -> None:
-        """Drop a queued request or stop a running one."""
+        """Remove a queued request or stop a running one."""
         if request.state == 'queued':
             request.mark_done()
             if request in self.queue:
@@ -316,19 +339,19 @@
             request.stop(reason, self.clock.now())
 
     def close(self, reason: str) -> None:
-        """Admit nothing more and refuse what waits."""
+        """Stop admitting requests and refuse the queued ones."""
         self.closed_reason = reason
         queued, self.queue = self.queue, []
         for request in queued:
             self.refuse(request, Refusal(reason, MIN_RETRY_MS))
 
     def open(self) -> None:
-        """Admit work."""
+        """Start admitting requests."""
         self.closed_reason = ''
         self.schedule()
 
     def cancel_job(self, job_id: str) -> list[TrackedRequest]:
-        """Refuse later starts of a job; return its running items."""
+        """Refuse new items of a job; cancel and return the running ones."""
         self.cancelled_jobs[job_id] = None
         if len(self.cancelled_jobs) > MAX_CANCELLED_JOBS:
             self.cancelled_jobs.pop(next(iter(self.cancelled_jobs)))
--- a/src/quetzaldyke/process/batch_grants.py
+++ b/src/quetzaldyke/process/batch_grants.py
@@ -1,7 +1,8 @@
-"""Which entry may start batch items here: demands, grants and lending.
+"""Grants that allow entries to start batch items at one endpoint.
 
-A grant says that room exists now. It expires by this process's clock, which
-bounds how late a paused owner of a segment can still start an item.
+Entries send demands; lending rules let pools use each other's slots. A grant
+says that a slot is free now. It expires by this process's clock, which bounds
+how late a paused owner of a segment can still start an item.
 """
 
 from __future__ import annotations
@@ -18,19 +19,19 @@
 from quetzaldyke.version.configuration import EMPTY, Configuration
 
 GRANT_TTL_S: Final = 2.0
-# Jobs whose slack differs by less count as equally urgent.
+# Slack is rounded down to this step, so that jobs whose slack differs by less
+# can count as equally urgent.
 EQUAL_SLACK_S: Final = 60.0
 MAX_SLACK_S: Final = 1e9
-# The share of an organisation's past grants that still counts after one
-# decay interval.
+# Share of an organisation's past grants that still counts after one interval.
 USE_DECAY_FACTOR: Final = 0.5
 USE_DECAY_INTERVAL_S: Final = 10.0
 
 
 def clamp_slack(slack_s: float) -> float:
-    """Return a slack that can be ordered and rounded.
+    """Return a finite slack that can be sorted and rounded; NaN gives 0.
 
-    >>> bounded(float('inf')) == MAX_SLACK_S
+    >>> clamp_slack(float('inf')) == MAX_SLACK_S
     True
     """
     if math.isnan(slack_s):
@@ -39,7 +40,10 @@
 
 
 class DemandKey(NamedTuple):
-    """Who asks for what; the session is named by its identity."""
+    """Connection, pool, organisation and job of a demand.
+
+    `session_id` is the `id()` of the session object.
+    """
 
     session_id: int
     pool: str
@@ -49,7 +53,7 @@
 
 @dataclass(slots=True)
 class Demand:
-    """Items of one job that wait at one entry."""
+    """Number of items of one job that wait at one entry."""
 
     session: PeerSession
     key: DemandKey
@@ -59,7 +63,7 @@
 
 @dataclass(slots=True)
 class Grant:
-    """Leave to start some items until a moment."""
+    """Permission to start some batch items before it expires."""
 
     key: DemandKey
     session: PeerSession
@@ -79,14 +83,15 @@
     recent_use: dict[str, float] = field(
         default_factory=lambda: defaultdict(float)
     )
-    decayed_s: float = 0.0
+    last_decay_s: float = 0.0
     grant_ids: Iterator[int] = field(default_factory=lambda: itertools.count(1))
 
     def set_demand(self, session: PeerSession, message: BatchDemand) -> None:
-        """Replace an entry's demand for a job.
+        """Replace an entry's demand for a job; a count of 0 withdraws it.
 
-        Messages of a connection arrive in order: a count sent before a grant
-        was read still has the granted items in it, so they are taken off.
+        Messages of a connection arrive in order. A count that was sent before
+        a grant was read still includes the granted items, so these are
+        subtracted.
         """
         key = DemandKey(
             id(session),
@@ -108,9 +113,10 @@
         )
 
     def withdraw(self, key: DemandKey) -> None:
-        """Forget what an entry wants for a job.
+        """Remove an entry's demand and grants for a job.
 
-        An entry that gives a grant back may not know the organisation.
+        The organisation is not compared: an entry that returns a grant may not
+        know it.
         """
 
         def same_job(other: DemandKey) -> bool:
@@ -122,32 +128,32 @@
                 self.demands.pop(other)
 
     def drop_grants(self, unwanted: Callable[[Grant], bool]) -> None:
-        """Withdraw the grants that a test picks."""
+        """Remove the grants for which `unwanted` returns True."""
         for grant_id, grant in list(self.grants.items()):
             if unwanted(grant):
                 self.grants.pop(grant_id)
 
     def drop_session(self, session: PeerSession) -> None:
-        """Forget an entry that is no longer connected."""
+        """Remove the demands and grants of a lost connection."""
         self.drop_grants(lambda grant: grant.session is session)
         for key in list(self.demands):
             if key.session_id == id(session):
                 self.demands.pop(key)
 
     def drop_job(self, job_id: str) -> None:
-        """Forget a cancelled job."""
+        """Remove the demands and grants of a cancelled job."""
         self.drop_grants(lambda grant: grant.key.job_id == job_id)
         for key in list(self.demands):
             if key.job_id == job_id:
                 self.demands.pop(key)
 
     def clear(self) -> None:
-        """Forget every demand and grant."""
+        """Remove all demands and grants."""
         self.demands.clear()
         self.grants.clear()
 
     def outstanding(self, pool: str | None = None) -> int:
-        """Return the granted items that have not started."""
+        """Return the granted items not yet started, of one pool or of all."""
         return sum(
             grant.count
             for grant in self.grants.values()
@@ -155,7 +161,11 @@
         )
 
     def expire(self, now_s: float) -> None:
-        """Drop late grants; an entry that used none must ask again."""
+        """Remove expired grants.
+
+        If no item of a grant was started, its demand is removed too, and the
+        entry must send it again.
+        """
         for grant_id, grant in list(self.grants.items()):
             if grant.expires_s <= now_s:
                 self.grants.pop(grant_id)
@@ -165,17 +175,21 @@
     def consume(
         self, session: PeerSession, submit: Submit, now_s: float
     ) -> bool:
-        """Use one item of a grant; False without a valid one."""
+        """Use one item of a grant; return False if there is no valid grant.
+
+        A grant is valid until it expires, and only for its connection, pool,
+        organisation and job.
+        """
         grant = self.grants.get(submit.grant_id)
         if grant is None or grant.expires_s <= now_s:
             return False
-        wanted = DemandKey(
+        key = DemandKey(
             id(session),
             submit.pool,
             submit.organisation,
             submit.job_id,
         )
-        if grant.key != wanted:
+        if grant.key != key:
             return False
         grant.used = True
         grant.count -= 1
@@ -184,7 +198,10 @@
         return True
 
     def share(self, pool: str, work_class: str, at_risk: bool) -> float:
-        """Return the share of this endpoint's slots that a pool may use."""
+        """Return the share of this endpoint's slots that a pool may use.
+
+        This is 1 for the endpoint's own pool and 0 without a lending rule.
+        """
         if pool == self.pool:
             return 1
         return max(
@@ -202,16 +219,16 @@
     def slot_quota(
         self, pool: str, work_class: str, at_risk: bool, limit: int
     ) -> int:
-        """Return the slots that a pool may use of `limit`."""
+        """Return the number of slots, out of `limit`, that a pool may use."""
         return math.floor(self.share(pool, work_class, at_risk) * limit)
 
     def weight(self, organisation: str) -> float:
-        """Return the weight of an organisation."""
+        """Return an organisation's weight, 1 if it is not configured."""
         configured = self.configuration.organisations.get(organisation)
         return configured.weight if configured else 1
 
     def priority_key(self, demand: Demand) -> tuple[float, float, float]:
-        """Return the order of demands: slack, then past use, then slack."""
+        """Return a sort key: slack in steps, then recent use, then slack."""
         return (
             math.floor(demand.slack_s / EQUAL_SLACK_S),
             self.recent_use[demand.key.organisation],
@@ -225,9 +242,11 @@
         running_by_pool: dict[str, int],
         now_s: float,
     ) -> list[tuple[PeerSession, BatchGrant]]:
-        """Hand out the room, one slot after the other.
+        """Divide free slots among the demands and return the new grants.
 
-        `running` counts the running batch streams of each pool.
+        Slots are allocated one at a time, so that the recent use of the
+        organisations is updated after each. `running_by_pool` counts the
+        running batch streams of each pool.
         """
         self.decay_use(now_s)
         allocated: dict[DemandKey, int] = defaultdict(int)
@@ -249,14 +268,14 @@
         running_by_pool: dict[str, int],
         allocated: dict[DemandKey, int],
     ) -> Demand | None:
-        """Return the demand that gets the next slot."""
-        open_demands = [
+        """Return the demand that gets the next slot, or None."""
+        eligible = [
             demand
             for demand in self.demands.values()
             if demand.count > 0
             and self.has_quota(demand, limit, running_by_pool, allocated)
         ]
-        return min(open_demands, key=self.priority_key, default=None)
+        return min(eligible, key=self.priority_key, default=None)
 
     def has_quota(
         self,
@@ -280,17 +299,17 @@
         count: int,
         now_s: float,
     ) -> tuple[PeerSession, BatchGrant]:
-        """Record a grant and return its message."""
+        """Record a grant; return its session and the message to send."""
         grant_id = next(self.grant_ids)
         session = self.demands[key].session
         self.grants[grant_id] = Grant(key, session, count, now_s + GRANT_TTL_S)
         return session, BatchGrant(grant_id, key.pool, key.job_id, count)
 
     def decay_use(self, now_s: float) -> None:
-        """Let past use count less, so that it evens out over time."""
-        if now_s - self.decayed_s < USE_DECAY_INTERVAL_S:
+        """Reduce the recent use once per interval, so that it evens out."""
+        if now_s - self.last_decay_s < USE_DECAY_INTERVAL_S:
             return
-        self.decayed_s = now_s
+        self.last_decay_s = now_s
         for organisation in list(self.recent_use):
             self.recent_use[organisation] *= USE_DECAY_FACTOR
             if self.recent_use[organisation] < USE_DECAY_FACTOR:
--- a/src/quetzaldyke/process/endpoint_monitor.py
+++ b/src/quetzaldyke/process/endpoint_monitor.py
@@ -1,8 +1,8 @@
-"""Whether the endpoint lives, what it has loaded and what it has cached.
+"""Monitors an endpoint's health, loaded model and cached prefixes.
 
-A broken stream alone does not prove a death. The endpoint counts as dead
-when it does not answer its health check, or when every one of several
-streams broke within a moment, as happens when it is restarted at once.
+One broken stream does not prove a crash. The endpoint counts as crashed when
+it fails a health check, or when all of several streams break within a short
+window, as happens when it is restarted at once.
 """
 
 from __future__ import annotations
@@ -21,29 +21,30 @@
 from quetzaldyke.parts.timers import Clock
 from quetzaldyke.process.admission import AdmissionController
 from quetzaldyke.process.logs import LogEvent
-from quetzaldyke.process.sidecar_peers import SidecarPeers
 from quetzaldyke.process.request_runner import EndpointClient
+from quetzaldyke.process.sidecar_peers import SidecarPeers
 from quetzaldyke.process.tracked_request import TrackedRequest
 
-# Streams that break together are seen within this time.
+# Streams broken by the same crash are detected within this time.
 BREAK_WINDOW_S: Final = 0.05
-# Each control call costs about 1 ms of processor time. A death under load is
-# seen by its broken streams, so the check is only for an idle endpoint.
+# Each control call costs about 1 ms of CPU time. A crash under load is detected
+# by the broken streams, so the health check is only for an idle endpoint.
 CHECK_INTERVAL_S: Final = 1.0
 DOWN_CHECK_INTERVAL_S: Final = 0.1
 STATE_INTERVAL_S: Final = 5.0
 LOADING_INTERVAL_S: Final = 0.1
-# One late answer is no outage: the engine answers between decoding steps.
+# One late answer is no outage: an engine answers between decoding steps.
 MAX_FAILED_CHECKS: Final = 2
 MAX_PREFIXES: Final = 16
-# Cache events are late; they are read for this long after the last start.
+# Cache events arrive late, so they are read for this long after a request
+# was last started.
 CACHE_LAG_S: Final = 10.0
 DOWN_REASON: Final = 'endpoint is down'
 
 
 @dataclass(slots=True)
 class CrashCheck:
-    """The streams that were in flight when one of them broke."""
+    """Streams in flight when a stream broke, and those broken so far."""
 
     in_flight: list[TrackedRequest]
     broken: list[TrackedRequest] = field(default_factory=list)
@@ -52,7 +53,7 @@
 
 @dataclass(slots=True)
 class EndpointMonitor:
-    """State of one endpoint as its sidecar sees it."""
+    """State of one endpoint as observed by its sidecar."""
 
     client: EndpointClient
     clock: Clock
@@ -71,14 +72,14 @@
     loading: bool = False
     order_executed: anyio.Event = field(default_factory=anyio.Event)
     last_cache_event: int = 0
-    # Prefixes in the engine's cache, latest last.
+    # Prefixes in the engine's cache, the most recently stored last.
     prefixes: dict[str, None] = field(default_factory=dict)
     crash_numbers: Iterator[int] = field(
         default_factory=lambda: itertools.count(1)
     )
 
     async def handle_broken_stream(self, request: TrackedRequest) -> None:
-        """Wait until it is known whether the endpoint died."""
+        """Start or join a crash check; return when it is complete."""
         crash_check = self.crash_check
         if crash_check is None:
             crash_check = CrashCheck(list(self.admission.running.values()))
@@ -90,7 +91,7 @@
         await crash_check.done.wait()
 
     async def run_crash_check(self, crash_check: CrashCheck) -> None:
-        """Decide whether the endpoint died and record the crash."""
+        """Decide whether the endpoint crashed and, if so, record the crash."""
         try:
             if await self.has_crashed(crash_check):
                 self.record_crash(crash_check.in_flight)
@@ -100,17 +101,19 @@
             crash_check.done.set()
 
     async def has_crashed(self, crash_check: CrashCheck) -> bool:
-        """Tell whether the endpoint died."""
+        """Tell whether a health check failed or all of several streams broke."""
         if not await self.client.healthy():
             return True
         await anyio.sleep(BREAK_WINDOW_S)
         if not await self.client.healthy():
             return True
-        several = len(crash_check.in_flight) > 1
-        return several and len(crash_check.broken) >= len(crash_check.in_flight)
+        several_in_flight = len(crash_check.in_flight) > 1
+        return several_in_flight and len(crash_check.broken) >= len(
+            crash_check.in_flight
+        )
 
     def record_crash(self, in_flight: list[TrackedRequest]) -> None:
-        """Record the crash for every request in flight and tell all."""
+        """Record a crash for every request in flight and broadcast it."""
         alone = len(in_flight) == 1 and in_flight[0].ran_alone
         now_ms = self.peers.now_ms()
         crash = make_crash_id(
@@ -128,12 +131,12 @@
         self.peers.broadcast_suspects(crashes, {})
 
     def clear_suspect(self, request: TrackedRequest) -> None:
-        """Clear a suspect that finished."""
+        """Clear the crash records of a request that finished."""
         cleared = self.peers.suspects.clear(request.submit.fingerprint)
         self.peers.broadcast_suspects({}, cleared)
 
     def mark_down(self) -> None:
-        """Admit nothing until the endpoint answers again."""
+        """Close admission until the endpoint answers again."""
         if not self.up:
             return
         self.up = False
@@ -142,14 +145,20 @@
         self.on_change()
 
     async def run(self) -> None:
-        """Check the endpoint until cancelled."""
+        """Check the endpoint until cancelled.
+
+        The health check is skipped while tokens arrive.
+        """
         while True:
             if not self.has_recent_tokens():
                 await self.check_health()
             await self.wait_for_next_check()
 
     async def wait_for_next_check(self) -> None:
-        """Wait for the next check; follows a load that is under way."""
+        """Wait until the next check is due.
+
+        During a model load, the engine's state is read after a shorter wait.
+        """
         if not self.up:
             await anyio.sleep(DOWN_CHECK_INTERVAL_S)
         elif self.loading:
@@ -159,13 +168,13 @@
             await self.sleep_until_order(CHECK_INTERVAL_S)
 
     async def sleep_until_order(self, timeout_s: float) -> None:
-        """Sleep, but no longer than until an order is carried out."""
+        """Sleep until an order was executed, but at most `timeout_s`."""
         self.order_executed = anyio.Event()
         with anyio.move_on_after(timeout_s):
             await self.order_executed.wait()
 
     def has_recent_tokens(self) -> bool:
-        """Tell whether tokens prove that the endpoint lives."""
+        """Tell whether recent tokens prove that the endpoint is up."""
         since_s = self.clock.now() - CHECK_INTERVAL_S
         return self.up and any(
             request.last_token_s > since_s
@@ -173,7 +182,7 @@
         )
 
     async def check_health(self) -> None:
-        """Make one health check and act on a change."""
+        """Make one health check and act on a change of state."""
         if await self.client.healthy():
             self.failed_checks = 0
             if not self.up:
@@ -184,7 +193,10 @@
             self.mark_down()
 
     async def bring_up(self) -> None:
-        """Cancel orphans and admit work."""
+        """Cancel the engine's orphaned streams and open admission.
+
+        The endpoint stays down if the orphans can't be cancelled.
+        """
         if isinstance(self.client, EngineClient):
             orphans = await self.client.cancel_orphans(
                 self.admission.running,
@@ -198,7 +210,10 @@
         self.on_change()
 
     async def read_engine_state(self) -> None:
-        """Read what the engine has loaded and which token it has seen."""
+        """Read what the engine has loaded and its highest fencing token.
+
+        Without an answer, the values for model, version and adapter are kept.
+        """
         if not isinstance(self.client, EngineClient):
             return
         state = (await self.client.order_state()).unwrap_or({})
@@ -209,9 +224,10 @@
         self.gate.note_token(number(state, 'highest_token'))
 
     async def read_cache_events(self) -> None:
-        """Follow the engine's cache events; gaps only lose hints.
+        """Apply the engine's new cache events to the known prefixes.
 
-        The cache of an idle engine does not change.
+        Prefixes are only routing hints, so a gap in the events does no harm.
+        The cache of an idle engine does not change and is not read.
         """
         if not isinstance(self.client, EngineClient) or not self.up:
             return
--- a/src/quetzaldyke/process/request_runner.py
+++ b/src/quetzaldyke/process/request_runner.py
@@ -1,4 +1,4 @@
-"""Runs one request at the endpoint, from its start to its last message."""
+"""Runs admitted requests at the endpoint and relays their answers."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 FLOAT_MS_IN_S: Final = float(MS_IN_S)
 
 EndpointClient = EngineClient | ServiceClient
-# Called when a stream broke; returns once the suspects are recorded.
+# Called when a stream breaks; returns once any crash has been recorded.
 OnBrokenStream = Callable[[TrackedRequest], Awaitable[None]]
 
 
 @dataclass(slots=True)
 class RequestRunner:
-    """Everything that a request's task needs."""
+    """Runs the requests of one endpoint and tracks the unfinished ones."""
 
     client: EndpointClient
     clock: Clock
@@ -34,11 +34,11 @@
     admission: AdmissionController
     on_broken_stream: OnBrokenStream
     on_finish: Callable[[TrackedRequest], None]
-    # Requests whose answer has not been sent to the end.
+    # Requests whose answer has not been sent completely.
     requests: dict[str, TrackedRequest] = field(default_factory=dict)
 
     def refuse(self, request: TrackedRequest, refusal: Refusal) -> None:
-        """Tell the entry that a request was not run."""
+        """Report a request that was not run to its entry."""
         self.fail(
             request,
             request.make_failed(
@@ -47,7 +47,7 @@
         )
 
     def fail(self, request: TrackedRequest, failed: Failed) -> None:
-        """End a request without an answer."""
+        """End a request, log the failure and send it to the entry."""
         request.mark_done()
         self.remove(request)
         self.log_event(
@@ -60,12 +60,12 @@
         request.answer.fail(failed)
 
     def remove(self, request: TrackedRequest) -> None:
-        """Drop a request that needs no further message."""
+        """Stop tracking a request that needs no further message."""
         if self.requests.get(request.submit.request_id) is request:
             self.requests.pop(request.submit.request_id)
 
     def grant_window(self, request_id: str, chunks: int) -> None:
-        """Add credit to an answer."""
+        """Allow more chunks of an answer; unknown requests are ignored."""
         request = self.requests.get(request_id)
         if request is None:
             return
@@ -74,7 +74,10 @@
             self.remove(request)
 
     async def run(self, request: TrackedRequest) -> None:
-        """Run a request that was admitted."""
+        """Run an admitted request, send its outcome and schedule others.
+
+        An unexpected exception is reported as a failure with unknown outcome.
+        """
         submit = request.submit
         self.log_event(
             'request_started',
@@ -98,7 +101,7 @@
         self,
         request: TrackedRequest,
     ) -> Result[Answer, EndpointFailure]:
-        """Hand the request to the endpoint and relay its answer."""
+        """Send the request to the endpoint and relay its answer."""
         if isinstance(self.client, ServiceClient):
             return await self.client.run(
                 request.submit,
@@ -110,7 +113,7 @@
         )
 
     async def relay_text(self, request: TrackedRequest, piece: Piece) -> None:
-        """Pass text on and measure the engine."""
+        """Relay text and sample the times to first token and between tokens."""
         now_s = self.clock.now()
         if not request.last_token_s:
             if not request.is_batch:
@@ -130,7 +133,7 @@
             request.last_token_s = self.clock.now()
 
     async def relay_raw(self, request: TrackedRequest, raw: bytes) -> None:
-        """Pass bytes of a plain service on."""
+        """Relay bytes of a plain service; wait while the buffer is full."""
         request.answer.add_raw(raw)
         await request.answer.wait_room()
 
@@ -139,7 +142,7 @@
         request: TrackedRequest,
         outcome: Result[Answer, EndpointFailure] | None,
     ) -> None:
-        """Free the slot and send the last message."""
+        """Free the slot and send the outcome; None means it was stopped."""
         if isinstance(outcome, Ok):
             self.admission.release(request)
             self.finish_answered(request, outcome.ok_value)
@@ -149,7 +152,7 @@
             await self.finish_stopped(request)
 
     def finish_answered(self, request: TrackedRequest, answer: Answer) -> None:
-        """End a request with its whole answer."""
+        """End a request with its complete answer."""
         self.on_finish(request)
         self.log_event(
             'request_finished',
@@ -166,7 +169,11 @@
         request: TrackedRequest,
         failure: EndpointFailure,
     ) -> None:
-        """End a request whose stream failed."""
+        """End a request whose call failed.
+
+        If its stream broke, the crash check is awaited first. A request that
+        is then confirmed to crash endpoints is reported as run.
+        """
         if failure.broken:
             await self.on_broken_stream(request)
         self.admission.release(request)
@@ -178,12 +185,16 @@
         self.fail(request, request.make_failed(ran, reason))
 
     def crashes_endpoints(self, request: TrackedRequest) -> bool:
-        """Tell whether the request is known to crash endpoints."""
+        """Tell whether the request is confirmed to crash endpoints."""
         verdict = self.admission.suspects.verdict(request.submit.fingerprint)
         return verdict == 'confirmed'
 
     async def finish_stopped(self, request: TrackedRequest) -> None:
-        """End a request that was stopped here; its slot is freed first."""
+        """End a request that was stopped here.
+
+        An engine is told to cancel it; then the slot is freed and the failure
+        sent.
+        """
         if isinstance(self.client, EngineClient):
             await self.client.cancel(
                 request.submit.request_id,
--- a/src/quetzaldyke/process/sidecar.py
+++ b/src/quetzaldyke/process/sidecar.py
@@ -1,4 +1,7 @@
-"""The sidecar: the only path of work and orders to one endpoint."""
+"""The sidecar process, through which all requests reach one endpoint.
+
+Orders to the engine also go only through its sidecar.
+"""
 
 from __future__ import annotations
 
@@ -16,8 +19,8 @@
 from quetzaldyke.process.sidecar_drain import drain
 from quetzaldyke.process.sidecar_state import SidecarProcess
 
-# Each run of a timer costs about 70 us of processor time. Late grants and
-# passed deadlines are also checked at each start.
+# Each run of a timer costs about 70 us of CPU time. Expired grants and
+# deadlines are also checked when a request starts.
 REPORT_INTERVAL_S: Final = 0.1
 SCHEDULE_INTERVAL_S: Final = 0.25
 CACHE_INTERVAL_S: Final = 1.0
@@ -31,8 +34,9 @@
 ) -> None:
     """Run one sidecar until `stopping` is set and the drain is complete.
 
-    The listen port is bound before the engine's orphans are cancelled: it is
-    the lock that keeps a second copy from cancelling a live one's streams.
+    The listening port is bound before the engine's orphaned streams are
+    cancelled. It is the lock that keeps a second copy of the sidecar from
+    cancelling the streams of the running one.
     """
     async with anyio.create_task_group() as group:
         process = SidecarProcess.from_settings(settings, group)
@@ -54,7 +58,7 @@
 
 
 def make_link_options(process: SidecarProcess) -> LinkOptions:
-    """Return what every connection of the sidecar needs."""
+    """Return the options for all connections of the sidecar."""
     return LinkOptions(
         process.settings.fleet_secret,
         process.clock,
@@ -67,7 +71,7 @@
 
 
 def make_hello(process: SidecarProcess) -> Hello:
-    """Return the sidecar's first message on a connection."""
+    """Return the first message that the sidecar sends on a connection."""
     settings = process.settings
     return Hello(
         PROTOCOL_VERSION,
@@ -84,7 +88,7 @@
 def make_timer_job(
     callback: Callable[[], object],
 ) -> Callable[[], Awaitable[None]]:
-    """Return a timer's job that runs one synchronous step."""
+    """Return an async timer job that calls a synchronous function."""
 
     async def job() -> None:
         callback()
@@ -93,7 +97,7 @@
 
 
 def subscribe_timers(process: SidecarProcess) -> None:
-    """Plan the sidecar's periodic work."""
+    """Schedule the periodic jobs and the handling of pauses."""
     timers = process.timers
 
     def report_failure(name: str, exc: Exception) -> None:
--- a/src/quetzaldyke/process/sidecar_drain.py
+++ b/src/quetzaldyke/process/sidecar_drain.py
@@ -1,4 +1,4 @@
-"""Leaving and the planned stop of a sidecar, which cuts no request."""
+"""Graceful shutdown of a sidecar; running online requests complete."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def leave(process: SidecarProcess) -> None:
-    """Refuse new work, hand batch back and tell the entries."""
+    """Close admission, preempt batch items and notify the entries."""
     if process.peers.leaving:
         return
     process.log_event('leaving', running=len(process.admission.running))
@@ -28,7 +28,10 @@
 
 
 async def drain(process: SidecarProcess) -> None:
-    """Leave, finish what runs, and close the connections."""
+    """Leave, wait for the requests to finish and close the connections.
+
+    The wait is limited by the `drain_s` setting.
+    """
     leave(process)
     with anyio.move_on_after(process.settings.drain_s) as scope:
         while process.runner.requests:
@@ -39,7 +42,7 @@
 
 
 async def close_sessions(process: SidecarProcess) -> None:
-    """Write what is queued, then let the entries close."""
+    """End all connections and wait for the entries to close theirs."""
     with anyio.move_on_after(CLOSE_TIMEOUT_S):
         for session in list(process.peers.sessions()):
             await close_session(session)
@@ -48,9 +51,10 @@
 
 
 async def close_session(session: PeerSession) -> None:
-    """Send the rest and the end of the stream.
+    """Send what is queued and then the end of the stream.
 
-    A close without it could discard bytes that the peer has not read.
+    A close without end of stream could discard bytes that the peer has not
+    read yet.
     """
     while session.outbox.pending and not session.closed:
         await anyio.sleep(POLL_INTERVAL_S)
--- a/src/quetzaldyke/process/sidecar_messages.py
+++ b/src/quetzaldyke/process/sidecar_messages.py
@@ -1,4 +1,4 @@
-"""What a sidecar does with each message of an entry."""
+"""Handles connections and messages of entries at a sidecar."""
 
 from __future__ import annotations
 
@@ -29,12 +29,13 @@
 from quetzaldyke.process.sidecar_state import SidecarProcess
 from quetzaldyke.process.tracked_request import TrackedRequest
 
-# After this gap the entries have closed their connections for silence.
+# After a pause this long, the entries have closed their connections, because
+# they received nothing.
 PAUSE_LIMIT_S: Final = 3.0
 
 
 def make_open_handler(process: SidecarProcess) -> OnOpen:
-    """Return what runs for each new connection."""
+    """Return the callback for a new connection."""
 
     async def opened(session: PeerSession) -> None:
         process.peers.add(session)
@@ -44,7 +45,10 @@
 
 
 def make_close_handler(process: SidecarProcess) -> OnClose:
-    """Return what runs after a connection was lost."""
+    """Return the callback for a lost connection.
+
+    It abandons the requests that arrived on the connection.
+    """
 
     def closed(session: PeerSession) -> None:
         process.peers.drop(session)
@@ -59,7 +63,10 @@
 
 
 def make_message_handler(process: SidecarProcess) -> OnMessage:
-    """Return the handler of messages."""
+    """Return the callback for a received message.
+
+    Messages of a closed session are ignored.
+    """
 
     async def handle(session: PeerSession, message: Message) -> None:
         detect_pause(process)
@@ -74,7 +81,7 @@
     session: PeerSession,
     message: Message,
 ) -> None:
-    """Act on one message."""
+    """Handle one message."""
     match message:
         case Window():
             process.runner.grant_window(message.request_id, message.chunks)
@@ -104,7 +111,7 @@
     session: PeerSession,
     message: Message,
 ) -> None:
-    """Act on a message about the state of the fleet."""
+    """Handle a message that is not about a request, job or order."""
     peers = process.peers
     match message:
         case Heartbeat() | ConfigVersion():
@@ -131,7 +138,11 @@
     session: PeerSession,
     message: Submit,
 ) -> None:
-    """Take a request in."""
+    """Admit or refuse a new request.
+
+    A repeated message on the same connection is ignored while its answer is
+    open.
+    """
     now_s = process.timers.clock.now()
     request = TrackedRequest.from_submit(message, session, now_s)
     existing = process.runner.requests.get(message.request_id)
@@ -163,7 +174,7 @@
     session: PeerSession,
     request_id: str,
 ) -> None:
-    """Stop a request that its entry no longer wants."""
+    """Cancel a request that arrived on the same connection."""
     request = process.runner.requests.get(request_id)
     if request is None or request.session is not session:
         return
@@ -174,7 +185,7 @@
 def abandon(
     process: SidecarProcess, request: TrackedRequest, reason: str
 ) -> None:
-    """Stop a request whose answer nobody reads."""
+    """Stop a request whose answer no entry reads."""
     request.answer.close()
     process.admission.cancel(request, reason)
     if request.state == 'done':
@@ -186,7 +197,7 @@
     session: PeerSession,
     job_id: str,
 ) -> None:
-    """Stop a job's items; answers once none of them runs."""
+    """Cancel a job's items; reply once none of them runs."""
     items = process.admission.cancel_job(job_id)
     process.log_event('job_cancelled', job_id=job_id, running=len(items))
 
@@ -199,16 +210,16 @@
 
 
 def detect_pause(process: SidecarProcess) -> None:
-    """Notice a pause of the process before acting on what was buffered."""
+    """Handle a pause of this process before messages buffered in it."""
     if process.timers.delay_s > PAUSE_LIMIT_S:
         process.timers.notice_delay()
 
 
 def handle_pause(process: SidecarProcess, gap_s: float) -> None:
-    """Drop all work after a pause in which the entries gave this up.
+    """Abandon all requests if a pause outlasted the entries' timeout.
 
-    The entries have closed their connections and may have started the work
-    elsewhere. They dial again, which registers this process anew.
+    The entries have closed their connections and may have started the requests
+    elsewhere. They connect again, which registers this process anew.
     """
     if gap_s <= PAUSE_LIMIT_S:
         return
--- a/src/quetzaldyke/process/sidecar_orders.py
+++ b/src/quetzaldyke/process/sidecar_orders.py
@@ -1,4 +1,4 @@
-"""Orders to the engine: nonce, fencing and one order at a time."""
+"""Executes orders to the engine: nonces, fencing, one order at a time."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class OrderExecutor:
-    """Orders at one endpoint."""
+    """Checks and executes the orders for one endpoint."""
 
     gate: FencingGate
     monitor: EndpointMonitor
@@ -30,12 +30,12 @@
     lock: anyio.Lock = field(default_factory=anyio.Lock)
 
     def prepare(self, session: PeerSession, message: OrderPrepare) -> None:
-        """Answer with a nonce."""
+        """Reply with the nonce that the order must carry."""
         nonce = self.gate.prepare(message.order_id)
         session.send(OrderNonce(message.order_id, nonce))
 
     def admit(self, session: PeerSession, order: Order) -> bool:
-        """Check an order at its arrival; tells the giver of a refusal."""
+        """Check an order on arrival; reply and return False if refused."""
         outcome = self.gate.admit(
             order.order_id,
             order.nonce,
@@ -47,7 +47,11 @@
         return True
 
     async def execute(self, session: PeerSession, order: Order) -> None:
-        """Hand an admitted order to the engine and report its outcome."""
+        """Execute an admitted order and send its outcome.
+
+        After a success, the engine's state is read again and the monitor is
+        woken.
+        """
         async with self.lock:
             refusal = await self.send_to_engine(order)
             if not refusal:
@@ -56,18 +60,18 @@
         self.reply(session, order, refusal)
 
     async def send_to_engine(self, order: Order) -> str:
-        """Give the order; return why it was not carried out."""
+        """Send the order to the engine; return an error or an empty string."""
         client = self.monitor.client
         if not isinstance(client, EngineClient):
             return 'the endpoint takes no orders'
-        # A newer order may have come while this one waited for its turn.
+        # A newer order may have been admitted while this one awaited the lock.
         if self.gate.stale(order.fencing_token):
             return 'token is stale'
         outcome = await client.give_order(order)
         return outcome.err_value.reason if isinstance(outcome, Err) else ''
 
     def reply(self, session: PeerSession, order: Order, refusal: str) -> None:
-        """Send the outcome of an order."""
+        """Log the outcome of an order and send it."""
         self.log_event(
             'order_done',
             order_id=order.order_id,
--- a/src/quetzaldyke/process/sidecar_peers.py
+++ b/src/quetzaldyke/process/sidecar_peers.py
@@ -1,7 +1,7 @@
-"""The entries that a sidecar is connected to, and what it passes on.
+"""Connections of a sidecar to entries, and what it sends over them.
 
-Configuration versions and suspects spread over these connections: what one
-entry brings is passed on to the others. Reports go to all of them.
+Configuration versions and crash suspects received from one entry are forwarded
+to the others. Reports are sent to all of them.
 """
 
 from __future__ import annotations
@@ -24,15 +24,16 @@
 from quetzaldyke.version.holder import ConfigHolder
 
 REPORT_MAX_INTERVAL_S: Final = 1.0
-# A report with its frame, and what reports may cost, because all control
-# traffic of a process has to stay under 7 KB/s. Decisive changes are exempt.
+# Size of a report with its frame, and the bandwidth limit for reports: all
+# control traffic of a process must stay under 7 KB/s. Reports that change the
+# routing fields are exempt.
 REPORT_BYTES: Final = 120
 REPORT_BYTES_PER_S: Final = 3000
 
 
 @dataclass(slots=True)
 class Peer:
-    """One connected entry."""
+    """A connected entry and the configuration version that it holds."""
 
     session: PeerSession
     config_version: int
@@ -40,7 +41,7 @@
 
 @dataclass(slots=True)
 class SidecarPeers:
-    """Connected entries of one sidecar."""
+    """Entries connected to one sidecar."""
 
     instance: str
     clock: Clock
@@ -51,7 +52,7 @@
     peers: dict[int, Peer] = field(default_factory=dict)
     leaving: bool = False
     last_report: Report | None = None
-    reported_s: float = 0.0
+    last_report_s: float = 0.0
 
     def sessions(self) -> Iterator[PeerSession]:
         """Yield the open connections."""
@@ -63,13 +64,13 @@
         message: Message,
         exclude: PeerSession | None = None,
     ) -> None:
-        """Send to every entry but one."""
+        """Send a message to all entries except `exclude`."""
         for session in self.sessions():
             if session is not exclude:
                 session.send(message)
 
     def add(self, session: PeerSession) -> None:
-        """Tell a new entry everything that it may not know."""
+        """Register a new entry and send it the current state."""
         peer = Peer(session, session.remote.config_version)
         self.peers[id(session)] = peer
         session.send(self.make_report())
@@ -81,14 +82,15 @@
         self.push_config(peer)
 
     def drop(self, session: PeerSession) -> None:
-        """Forget a connection."""
+        """Remove a connection; an unknown one is ignored."""
         self.peers.pop(id(session), None)
 
     def report(self) -> None:
-        """Report a change, or an unchanged state once in a while.
+        """Send a report if the state changed or the last one is old.
 
-        What decides whether an entry sends work goes out at once; the rest
-        travels along with the next write of each connection.
+        Changes that decide whether an entry sends requests here go out at
+        once. Other reports are sent together with the next write of each
+        connection.
         """
         report = self.make_report()
         previous = self.last_report
@@ -98,7 +100,7 @@
         if not immediate and not self.report_due(report):
             return
         self.last_report = report
-        self.reported_s = self.clock.now()
+        self.last_report_s = self.clock.now()
         for session in self.sessions():
             if immediate:
                 session.send(report)
@@ -106,22 +108,22 @@
                 session.send_with_next(report)
 
     def report_due(self, report: Report) -> bool:
-        """Tell whether a report is worth its bytes now."""
-        elapsed_s = self.clock.now() - self.reported_s
+        """Tell whether the intervals and bandwidth limit allow a report."""
+        elapsed_s = self.clock.now() - self.last_report_s
         budget_s = len(self.peers) * REPORT_BYTES / REPORT_BYTES_PER_S
         if report == self.last_report:
             return elapsed_s >= max(REPORT_MAX_INTERVAL_S, budget_s)
         return elapsed_s >= budget_s
 
     def leave(self) -> None:
-        """Tell every entry that this instance is leaving."""
+        """Tell every entry, once, that this instance is leaving."""
         if self.leaving:
             return
         self.leaving = True
         self.broadcast(LeavingNotice(self.instance))
 
     def update_version(self, session: PeerSession, version: int) -> None:
-        """Note an entry's version and bring it up to date."""
+        """Record an entry's version and send it a newer configuration."""
         peer = self.peers.get(id(session))
         if peer is None:
             return
@@ -129,7 +131,7 @@
         self.push_config(peer)
 
     def push_config(self, peer: Peer) -> None:
-        """Send the configuration to an entry that is behind."""
+        """Send the configuration to an entry that holds an older version."""
         if peer.config_version >= self.config.version:
             return
         peer.config_version = self.config.version
@@ -138,7 +140,7 @@
         )
 
     def adopt_config(self, session: PeerSession, push: ConfigPush) -> bool:
-        """Take a higher version and pass it on; False for others."""
+        """Adopt and forward a newer version; return False for any other."""
         adopted = self.config.adopt(push.version, push.document)
         if adopted:
             self.broadcast(ConfigVersion(self.config.version))
@@ -152,7 +154,7 @@
         session: PeerSession,
         update: SuspectUpdate,
     ) -> None:
-        """Merge an entry's records and pass on what was new."""
+        """Merge an entry's crash records and forward the new ones."""
         crashes, cleared = self.suspects.merge(
             update.crashes,
             update.cleared,
@@ -166,13 +168,13 @@
         cleared: CrashTable,
         exclude: PeerSession | None = None,
     ) -> None:
-        """Send new records to the entries."""
+        """Send new crash records to all entries except `exclude`."""
         if crashes or cleared:
             self.broadcast(SuspectUpdate(crashes, cleared), exclude)
 
 
 def routing_fields(report: Report) -> list[object]:
-    """Return the facts that decide whether an entry sends work at all."""
+    """Return the fields that decide whether an entry sends requests."""
     return [
         report.endpoint_up,
         report.leaving,
--- a/src/quetzaldyke/process/sidecar_state.py
+++ b/src/quetzaldyke/process/sidecar_state.py
@@ -1,4 +1,4 @@
-"""State of one sidecar and how its parts are put together."""
+"""State of one sidecar and construction of its components."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 from quetzaldyke.process.batch_grants import BatchGrants
 from quetzaldyke.process.endpoint_monitor import DOWN_REASON, EndpointMonitor
 from quetzaldyke.process.logs import LogEvent, make_log_event
+from quetzaldyke.process.request_runner import EndpointClient, RequestRunner
 from quetzaldyke.process.settings import SidecarSettings
 from quetzaldyke.process.sidecar_orders import OrderExecutor
 from quetzaldyke.process.sidecar_peers import SidecarPeers
-from quetzaldyke.process.request_runner import EndpointClient, RequestRunner
 from quetzaldyke.version.configuration import Configuration
 from quetzaldyke.version.holder import ConfigHolder
 
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class SidecarProcess:
-    """State of one sidecar."""
+    """Components and state of one sidecar process."""
 
     settings: SidecarSettings
     clock: HybridClock
@@ -60,7 +60,7 @@
         settings: SidecarSettings,
         group: TaskGroup,
     ) -> SidecarProcess:
-        """Build a sidecar that has not started yet."""
+        """Create a sidecar that has not been started yet."""
         stamps = HybridClock(settings.instance)
         log_event, timeline = make_log_event(settings.instance, stamps)
         timers = TimerService()
@@ -128,7 +128,7 @@
 
 
 def make_client(settings: SidecarSettings) -> EndpointClient:
-    """Return the client for the kind of endpoint."""
+    """Return the client for the configured kind of endpoint."""
     connections = Connections(settings.endpoint_address)
     if settings.endpoint_kind == 'engine':
         return EngineClient(connections)
@@ -136,7 +136,10 @@
 
 
 def make_limit(settings: SidecarSettings) -> AdaptiveLimit:
-    """Return the limit; a plain service has no tokens to adapt to."""
+    """Return the concurrency limit.
+
+    It is fixed for a plain service, which has no token times to adapt to.
+    """
     return AdaptiveLimit(
         settings.max_streams,
         Samples(settings.ttft_target_ms),
@@ -146,7 +149,7 @@
 
 
 def make_report(process: SidecarProcess) -> Report:
-    """Return the present state of the endpoint."""
+    """Return the current state of the endpoint as a message."""
     admission = process.admission
     monitor = process.monitor
     return Report(
@@ -170,7 +173,7 @@
 
 
 def update_admission(process: SidecarProcess) -> None:
-    """Open or close admission after a change, and report it."""
+    """Open or close admission by the endpoint's state, then report it."""
     if process.peers.leaving:
         process.admission.close(LEAVING_REASON)
     elif process.monitor.up:
@@ -183,6 +186,6 @@
 def apply_config(
     admission: AdmissionController, current: Configuration
 ) -> None:
-    """Put a new configuration's lending rules in force."""
+    """Apply the lending rules of a new configuration."""
     admission.grants.configuration = current
     admission.schedule()
--- a/src/quetzaldyke/process/tracked_request.py
+++ b/src/quetzaldyke/process/tracked_request.py
@@ -1,4 +1,4 @@
-"""Requests that a sidecar holds, from arrival to their last message."""
+"""State of a sidecar's request, from its arrival to its last message."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class TrackedRequest:
-    """One request and what it has produced."""
+    """A request, its state and the output of this attempt."""
 
     submit: Submit
     answer: AnswerStream
@@ -33,7 +33,7 @@
     last_token_s: float = 0.0
     text: list[str] = field(default_factory=list)
     tokens: int = 0
-    # The endpoint ran nothing else at any time of this run.
+    # Whether the endpoint ran no other request at any time of this run.
     ran_alone: bool = False
     ended: anyio.Event = field(default_factory=anyio.Event)
 
@@ -44,7 +44,7 @@
         session: PeerSession,
         now_s: float,
     ) -> TrackedRequest:
-        """Return the work of a request that arrived now."""
+        """Return the state of a request that arrived at `now_s`."""
         return cls(
             submit,
             AnswerStream(session, submit.request_id),
@@ -54,23 +54,23 @@
 
     @property
     def is_batch(self) -> bool:
-        """Tell whether online work goes before this."""
+        """Tell whether this is a batch item, which yields to online work."""
         return self.submit.work == 'batch'
 
     @property
     def session(self) -> PeerSession:
-        """Return the connection that the request came on."""
+        """Return the connection on which the request arrived."""
         return self.answer.session
 
     @property
     def resume_cost(self) -> int:
-        """Return the tokens that a resumed run would have to read again."""
+        """Return the number of tokens that a resumed run has to read again."""
         return self.submit.resume_tokens + self.tokens
 
     def make_failed(
         self, ran: Ran, reason: str, retry_after_ms: int = 0
     ) -> Failed:
-        """Return a failure with the whole text of this attempt."""
+        """Return a failure message with all the text of this attempt."""
         return Failed(
             self.submit.request_id,
             ran,
@@ -81,12 +81,15 @@
         )
 
     def mark_done(self) -> None:
-        """Note that nothing of the request runs any more."""
+        """Mark the request as ended and wake the tasks that wait for it."""
         self.state = 'done'
         self.ended.set()
 
     def stop(self, reason: str, now_s: float) -> None:
-        """Cancel a running request; its slot is free when that is done."""
+        """Cancel a running request; a request in another state is left as is.
+
+        The slot becomes free when the request's task has ended it.
+        """
         if self.state != 'running':
             return
         self.state = 'stopping'
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Property tests of admission, without a connection or an endpoint."""
+"""Tests of admission control, without a connection or an endpoint."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 SLOTS = 6
 
 
-def in_loop(test: Callable[..., None]) -> Callable[..., None]:
+def run_in_event_loop(test: Callable[..., None]) -> Callable[..., None]:
     """Run a test in an event loop, which cancel scopes need."""
 
     @functools.wraps(test)
@@ -45,12 +45,12 @@
 
 @dataclass
 class FakeSession:
-    """Keeps what is sent to an entry."""
+    """Records the messages sent to an entry."""
 
     sent: list[Message] = field(default_factory=list)
 
     def send(self, message: Message) -> None:
-        """Keep a message."""
+        """Record a message."""
         self.sent.append(message)
 
     @property
@@ -61,7 +61,7 @@
 
 @dataclass
 class Endpoint:
-    """An admission with a clock that stands still."""
+    """An admission controller whose clock is set by the test."""
 
     now_s: float = 100.0
     session: Any = field(default_factory=FakeSession)
@@ -70,7 +70,7 @@
     admission: AdmissionController = field(init=False)
 
     def __post_init__(self) -> None:
-        """Open the admission."""
+        """Create the controller and open admission."""
         self.admission = AdmissionController(
             'pool',
             SLOTS,
@@ -85,15 +85,15 @@
         self.admission.open()
 
     def note_start(self, request: TrackedRequest) -> None:
-        """Keep what was started."""
+        """Record a started request."""
         self.started.append(request.submit.request_id)
 
     def note_refusal(self, request: TrackedRequest, refusal: Refusal) -> None:
-        """Keep what was refused."""
+        """Record a refusal."""
         self.refused[request.submit.request_id] = refusal
 
     def submit(self, **fields: Any) -> Submit:
-        """Send a request in."""
+        """Submit a request and return its message."""
         message = make_submit(**fields)
         request = TrackedRequest.from_submit(message, self.session, self.now_s)
         self.admission.submit(request)
@@ -113,7 +113,7 @@
         self.admission.schedule()
 
     def use_grants(self) -> None:
-        """Start an item for each granted place."""
+        """Submit an item for each granted slot."""
         grants = self.session.grants
         self.session.sent.clear()
         for grant in grants:
@@ -125,7 +125,7 @@
                 )
 
     def release(self, request: TrackedRequest) -> None:
-        """Note the end of a stream at the engine."""
+        """Release the slot of a stream that ended at the engine."""
         self.admission.release(request)
         self.admission.schedule()
 
@@ -136,9 +136,9 @@
 
 
 @given(steps=st.lists(OPERATIONS, max_size=60))
-@in_loop
+@run_in_event_loop
 def test_online_never_waits_behind_batch(steps: list[str]) -> None:
-    """Guards against an online request that waits while batch runs on."""
+    """Guards against online requests that wait while batch keeps its slots."""
     endpoint = Endpoint()
     for step in steps:
         running = list(endpoint.admission.running.values())
@@ -160,7 +160,7 @@
 
 
 def check_limits(endpoint: Endpoint) -> None:
-    """Check the limits after a step."""
+    """Check that batch gives up a slot for each waiting request."""
     admission = endpoint.admission
     assert len(admission.running) <= SLOTS
     stopping = sum(
@@ -175,9 +175,9 @@
     ('age_s', 'starts'),
     [(0.0, True), (GRANT_TTL_S - 0.01, True), (GRANT_TTL_S, False)],
 )
-@in_loop
+@run_in_event_loop
 def test_grants_expire(age_s: float, starts: bool) -> None:
-    """Guards against a paused owner that starts an item late."""
+    """Guards against an item started late by a segment owner that paused."""
     endpoint = Endpoint()
     endpoint.demand(1)
     endpoint.now_s += age_s
@@ -186,9 +186,12 @@
     assert starts or endpoint.refused
 
 
-@in_loop
-def test_demand_counts_grants_under_way() -> None:
-    """Guards against room reserved twice for the same items."""
+@run_in_event_loop
+def test_demand_subtracts_outstanding_grants() -> None:
+    """Guards against slots reserved twice for the same items.
+
+    A repeated demand still includes items that were granted meanwhile.
+    """
     endpoint = Endpoint()
     endpoint.demand(2)
     endpoint.demand(2)
@@ -198,9 +201,9 @@
     assert not endpoint.admission.grants.demands
 
 
-@in_loop
+@run_in_event_loop
 def test_equal_urgency_is_shared_by_weight() -> None:
-    """Guards against an organisation that takes all batch room."""
+    """Guards against an organisation that gets all batch slots."""
     key = 'a' * 64
     endpoint = Endpoint()
     endpoint.admission.grants.configuration = Configuration(
@@ -220,40 +223,40 @@
     assert 1.7 <= given['heavy'] / given['light'] <= 2.3
 
 
-@in_loop
-def test_urgency_goes_before_past_use() -> None:
-    """Guards against a late job that waits because its owner used much."""
+@run_in_event_loop
+def test_urgency_outranks_past_use() -> None:
+    """Guards against an urgent job that waits due to its owner's past use."""
     endpoint = Endpoint()
     endpoint.admission.grants.recent_use['busy'] = 50.0
     for number in range(SLOTS):
         endpoint.submit(prompt=f'online {number}')
     endpoint.now_s += 60.0
-    endpoint.admission.grants.decayed_s = endpoint.now_s
+    endpoint.admission.grants.last_decay_s = endpoint.now_s
     endpoint.demand(1, 'patient', 900.0, 'idle')
     endpoint.demand(1, 'urgent', 30.0, 'busy')
     endpoint.release(next(iter(endpoint.admission.running.values())))
     assert [grant.job_id for grant in endpoint.session.grants] == ['urgent']
 
 
-@in_loop
+@run_in_event_loop
 def test_overload_is_refused_early() -> None:
-    """Guards against requests that wait only to miss their deadline."""
+    """Guards against queueing requests that would miss their deadline."""
     endpoint = Endpoint()
     for _ in range(SLOTS):
         endpoint.submit()
-    hasty = endpoint.submit(remaining_ms=1)
+    impatient = endpoint.submit(remaining_ms=1)
     for _ in range(20):
         endpoint.submit()
     last = endpoint.submit()
-    assert set(endpoint.refused) == {hasty.request_id, last.request_id}
+    assert set(endpoint.refused) == {impatient.request_id, last.request_id}
     for refusal in endpoint.refused.values():
         assert refusal.reason == 'overloaded'
         assert refusal.retry_after_ms > 0
 
 
-@in_loop
+@run_in_event_loop
 def test_expired_requests_never_start() -> None:
-    """Guards against work for callers who have given up."""
+    """Guards against running requests after their deadline."""
     endpoint = Endpoint()
     for _ in range(SLOTS):
         endpoint.submit()
@@ -265,9 +268,9 @@
     assert queued.request_id not in endpoint.started
 
 
-@in_loop
-def test_suspect_owed_the_endpoint_gets_it() -> None:
-    """Guards against a suspect that waits for ever for an empty endpoint."""
+@run_in_event_loop
+def test_waiting_suspect_gets_to_run_alone() -> None:
+    """Guards against a suspect that never runs because others keep starting."""
     endpoint = Endpoint()
     endpoint.admission.suspects.record('0/s/1', ['fp-x'], 0)
     endpoint.admission.suspects.record('0/s/2', ['fp-x'], 0)
@@ -306,7 +309,7 @@
     used: bool,
     limit: int,
 ) -> None:
-    """Guards against a limit that ignores the 95 in 100 of the targets."""
+    """Guards against a limit that ignores that targets hold for 95 in 100."""
     adaptive = AdaptiveLimit(16, Samples(1e9), Samples(50.0), limit=10)
     for sample_ms in samples_ms:
         adaptive.between_tokens.note(sample_ms)
@@ -316,7 +319,7 @@
 
 
 def test_limit_is_cut_once_a_second_and_bounded() -> None:
-    """Guards against a limit that one bad moment drives to nothing."""
+    """Guards against a limit that a short latency peak cuts to the minimum."""
     adaptive = AdaptiveLimit(16, Samples(50.0), Samples(50.0))
     limits = []
     for number in range(20):
@@ -329,7 +332,7 @@
 
 
 def test_headroom_follows_the_arrivals() -> None:
-    """Guards against headroom that forgets a burst at once, or never."""
+    """Guards against headroom that ignores a burst or keeps it for ever."""
     headroom = Headroom(phase=0.0)
     for number in range(30):
         headroom.note_arrival(now_s=1000 + number / 30)
@@ -343,8 +346,8 @@
 
 
 @pytest.mark.parametrize('arrivals', [2, 7, 12, 18])
-def test_share_of_turns_with_a_free_slot(arrivals: int) -> None:
-    """Guards against a fraction that is always rounded one way."""
+def test_fractional_headroom_is_kept_on_average(arrivals: int) -> None:
+    """Guards against fractional headroom always rounded up or down."""
     headroom = Headroom(phase=0.3)
     kept = 0
     for second in range(200):
