--- a/tests/sidecar_rig.py
+++ b/tests/sidecar_rig.py
@@ -1,4 +1,4 @@
-"""A sidecar with an engine stand-in and a small entry, over real sockets."""
+"""Runs a sidecar with an engine stand-in and a minimal entry over sockets."""
 
 from __future__ import annotations
 
@@ -40,7 +40,8 @@
 SECRET = 'fleet-secret-0001'
 LIMIT_S = 20.0
 PATH = '/v1/completions'
-# Targets that a busy test machine can't miss, so that the limit stays put.
+# Latency targets that even a busy machine meets, so that the concurrency
+# limit does not change.
 SLOW_MS = 60_000.0
 
 MessageT = TypeVar('MessageT', bound=Message)
@@ -48,7 +49,7 @@
 
 @dataclass
 class Outcome:
-    """What came back for one request."""
+    """The messages received for one request."""
 
     started: bool = False
     texts: list[str] = field(default_factory=list)
@@ -95,23 +96,23 @@
         await self.opened.wait()
 
     async def on_open(self, session: PeerSession) -> None:
-        """Keep the session."""
+        """Store the session."""
         self.session = session
         self.table = CallTable(session)
         self.opened.set()
 
     async def on_message(self, _: PeerSession, message: Message) -> None:
-        """Deliver answers; keep everything else."""
+        """Deliver answers; put other messages into the inbox."""
         if not self.calls.deliver(message):
             self.inbox.append(message)
 
     def on_close(self, _: PeerSession) -> None:
-        """Fail what is in flight."""
+        """Fail the requests in flight."""
         self.calls.fail_all('connection lost')
 
     @property
     def calls(self) -> CallTable:
-        """Return the requests in flight."""
+        """Return the table of the requests in flight."""
         assert self.table is not None
         return self.table
 
@@ -120,7 +121,7 @@
         self.calls.session.send(message)
 
     def received(self, kind: type[MessageT]) -> list[MessageT]:
-        """Return the messages of one kind that came."""
+        """Return the messages of one kind in the inbox."""
         return [one for one in self.inbox if isinstance(one, kind)]
 
     async def receive(
@@ -225,7 +226,7 @@
 
 
 def full_answer(prompt: str, tokens: int) -> str:
-    """Return the whole answer to a prompt."""
+    """Return the complete answer to a prompt."""
     return answer_text(prompt, tokens)
 
 
@@ -247,17 +248,17 @@
         return client
 
     async def crash_sidecar(self) -> None:
-        """End the sidecar without a stop."""
+        """Cancel the sidecar without a planned stop."""
         self.scope.cancel()
         await self.done.wait()
 
     async def restart_sidecar(self) -> None:
-        """Start a new sidecar process beside the same engine."""
+        """Start a new sidecar for the same engine and wait until it is up."""
         await self.start_sidecar()
         await until(lambda: self.sidecar.monitor.up)
 
     async def start_sidecar(self) -> None:
-        """Start a sidecar whose end can be waited for."""
+        """Start a sidecar that sets `done` when it ends."""
         self.scope = anyio.CancelScope()
         self.done = anyio.Event()
         started = anyio.Event()
@@ -277,7 +278,7 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait for a condition; the rig's time limit ends a vain wait."""
+    """Wait for a condition; make_rig limits the wait to LIMIT_S."""
     while not condition():
         await anyio.sleep(0.002)
 
--- a/tests/test_sidecar_batch.py
+++ b/tests/test_sidecar_batch.py
@@ -1,4 +1,4 @@
-"""Tests of batch work at the sidecar: grants, preemption and cancelled jobs."""
+"""Tests of batch items at the sidecar: grants, preemption, cancelled jobs."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
     EntryClient,
     Outcome,
     Rig,
+    full_answer,
     make_item,
     make_rig,
     make_submit,
     until,
-    full_answer,
 )
 
-LONG = 100_000
+MANY_TOKENS = 100_000
 
 
 def test_batch_needs_a_grant() -> None:
-    """Guards against batch items that start without room for them."""
+    """Guards against batch items that start without a granted slot."""
 
     async def scenario() -> None:
         async with make_rig() as rig:
@@ -64,7 +64,7 @@
 ) -> Outcome:
     """Start a long batch item and wait until it has produced text."""
     grant = await entry.obtain_grant()
-    outcome, _ = entry.begin(make_item(grant, prompt, LONG, **more))
+    outcome, _ = entry.begin(make_item(grant, prompt, MANY_TOKENS, **more))
     await until(lambda: len(outcome.texts) > 3 or outcome.failed is not None)
     return outcome
 
@@ -72,12 +72,12 @@
 async def fill_with_online(rig: Rig, entry: EntryClient, count: int) -> None:
     """Start online requests that run until the test ends."""
     for _ in range(count):
-        outcome, _ = entry.begin(make_submit('busy', LONG))
+        outcome, _ = entry.begin(make_submit('busy', MANY_TOKENS))
         await until(lambda: len(outcome.texts) > 0)
 
 
-def test_preempted_item_is_resumed_to_the_whole_answer() -> None:
-    """Guards against work lost or repeated when batch yields to online."""
+def test_preempted_item_resumes_to_the_complete_answer() -> None:
+    """Guards against tokens lost or repeated when a batch item is preempted."""
 
     async def scenario() -> None:
         async with make_rig(max_streams=2) as rig:
@@ -113,16 +113,16 @@
 
 
 def test_engine_never_queues(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against online requests that wait behind batch in the engine."""
-    most = 0
+    """Guards against online requests queued behind batch in the engine."""
+    max_seen = 0
     submit = Batch.submit
 
-    def counted(batch: Batch, *arguments: Any) -> Any:
-        nonlocal most
-        most = max(most, len(batch.ids()) + 1)
+    def counting_submit(batch: Batch, *arguments: Any) -> Any:
+        nonlocal max_seen
+        max_seen = max(max_seen, len(batch.ids()) + 1)
         return submit(batch, *arguments)
 
-    monkeypatch.setattr(Batch, 'submit', counted)
+    monkeypatch.setattr(Batch, 'submit', counting_submit)
 
     async def scenario() -> None:
         async with make_rig(max_streams=3, max_queue=50) as rig:
@@ -139,11 +139,11 @@
             assert rig.sidecar.admission.running_count(batch=True) < 3
 
     anyio.run(scenario)
-    assert most == 3
+    assert max_seen == 3
 
 
-def test_stream_with_least_progress_yields() -> None:
-    """Guards against giving up the stream that costs most to resume."""
+def test_stream_with_least_progress_is_preempted() -> None:
+    """Guards against preempting the stream that is costliest to resume."""
 
     async def scenario() -> None:
         async with make_rig(max_streams=3) as rig:
@@ -158,8 +158,8 @@
     anyio.run(scenario)
 
 
-def test_no_room_no_grant() -> None:
-    """Guards against grants for slots that online work is about to need."""
+def test_no_grant_without_room() -> None:
+    """Guards against batch items in slots that online requests need."""
 
     async def scenario() -> None:
         async with make_rig(max_streams=3) as rig:
@@ -176,7 +176,7 @@
 
 
 def test_cancelled_job_stops_and_never_starts_again() -> None:
-    """Guards against items of a cancelled job that run on."""
+    """Guards against items of a cancelled job that keep running or start."""
 
     async def scenario() -> None:
         async with make_rig(engine={'keep_orphans': True}) as rig:
@@ -206,11 +206,11 @@
     confirmed = anyio.Event()
     cancel = EngineClient.cancel
 
-    async def late_cancel(*arguments: Any, **fields: Any) -> None:
+    async def delayed_cancel(*arguments: Any, **fields: Any) -> None:
         await confirmed.wait()
         await cancel(*arguments, **fields)
 
-    monkeypatch.setattr(EngineClient, 'cancel', late_cancel)
+    monkeypatch.setattr(EngineClient, 'cancel', delayed_cancel)
 
     async def scenario() -> None:
         async with make_rig() as rig:
@@ -227,7 +227,7 @@
 
 
 def test_least_slack_is_granted_first() -> None:
-    """Guards against an urgent job that waits behind a patient one."""
+    """Guards against an urgent job that waits behind one with more slack."""
 
     async def scenario() -> None:
         async with make_rig(max_streams=2) as rig:
@@ -255,7 +255,7 @@
 
 
 def test_lending_follows_the_configuration() -> None:
-    """Guards against lending that no rule allows, or above its share."""
+    """Guards against slots lent without a rule or above a rule's share."""
     rule = LendingRule(borrower='other', lender='pool', max_share=0.25)
     configuration = Configuration(
         pools={'pool': Pool(), 'other': Pool()},
@@ -280,7 +280,7 @@
 
 
 def test_report_counts_batch_room() -> None:
-    """Guards against entries that see room where there is none."""
+    """Guards against reports of batch room that does not exist."""
 
     async def scenario() -> None:
         async with make_rig(max_streams=3) as rig:
--- a/tests/test_sidecar_crashes.py
+++ b/tests/test_sidecar_crashes.py
@@ -13,10 +13,10 @@
 from sidecar_rig import (
     EntryClient,
     Rig,
+    full_answer,
     make_rig,
     make_submit,
     until,
-    full_answer,
 )
 
 ENDPOINTS = 5
@@ -26,7 +26,7 @@
 
 @asynccontextmanager
 async def make_fleet() -> AsyncIterator[list[tuple[Rig, EntryClient]]]:
-    """Run several endpoints and an entry that passes suspects on."""
+    """Run several endpoints with an entry that forwards suspects."""
     async with AsyncExitStack() as stack:
         fleet: list[tuple[Rig, EntryClient]] = []
         for number in range(ENDPOINTS):
@@ -61,7 +61,7 @@
     tokens: int,
     first: int,
 ) -> str:
-    """Try endpoint after endpoint; returns the text or the refusal."""
+    """Try one endpoint after another; return the text or the last reason."""
     text = ''
     for number in range(first, first + TRIES):
         _, entry = fleet[number % len(fleet)]
@@ -78,9 +78,9 @@
 
 
 def test_crashing_request_costs_few_endpoints() -> None:
-    """Guards against one request that takes the fleet down with its retries.
+    """Guards against retries of one request that crash the whole fleet.
 
-    Innocent requests run beside it on every endpoint and are all answered.
+    Other requests run beside it on every endpoint and are all answered.
     """
     answers: dict[str, str] = {}
 
@@ -118,12 +118,12 @@
     async def scenario() -> None:
         async with make_rig(engine={'restart_s': 0.1}) as rig:
             entry = await rig.entry()
-            rans: list[str] = []
-            while 'ran' not in rans:
+            ran_values: list[str] = []
+            while 'ran' not in ran_values:
                 await until(lambda: rig.sidecar.monitor.up)
                 outcome = await entry.ask(make_submit(CRASHING))
                 assert outcome.failed is not None
-                rans.append(outcome.failed.ran)
+                ran_values.append(outcome.failed.ran)
             last = await entry.ask(make_submit(CRASHING))
             assert last.failed is not None
             assert last.failed.ran == 'not_run'
@@ -134,7 +134,7 @@
 
 
 def test_suspect_that_finishes_is_cleared() -> None:
-    """Guards against an innocent request held back for an hour."""
+    """Guards against an innocent request that stays a suspect for an hour."""
 
     async def scenario() -> None:
         async with make_rig(engine={'restart_s': 0.1}) as rig:
@@ -160,8 +160,8 @@
 
 
 @pytest.mark.parametrize('breaks', ['one stream', 'idle engine'])
-def test_what_is_no_crash(breaks: str) -> None:
-    """Guards against suspects made by faults that are no crash under load."""
+def test_faults_that_are_no_crash(breaks: str) -> None:
+    """Guards against suspects recorded without a crash under load."""
 
     async def scenario() -> None:
         async with make_rig() as rig:
@@ -183,7 +183,7 @@
 
 
 def test_suspects_are_passed_on_to_other_entries() -> None:
-    """Guards against suspects that only one entry's sidecars know."""
+    """Guards against suspects that are not forwarded to other entries."""
 
     async def scenario() -> None:
         async with make_rig() as rig:
@@ -202,7 +202,7 @@
 
 
 def test_suspects_run_apart() -> None:
-    """Guards against a suspect that makes another suspect look guilty."""
+    """Guards against two suspects that run together and share a crash."""
 
     async def scenario() -> None:
         async with make_rig() as rig:
--- a/tests/test_sidecar_life.py
+++ b/tests/test_sidecar_life.py
@@ -1,4 +1,4 @@
-"""Tests of leaving, planned stops, pauses and what is passed on."""
+"""Tests of leaving, planned stops, pauses, configuration and reports."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
     pack_document,
 )
 from quetzaldyke.version.holder import ConfigHolder
-from sidecar_rig import make_item, make_rig, make_submit, until, full_answer
+from sidecar_rig import full_answer, make_item, make_rig, make_submit, until
 
 PACKED = pack_document(Configuration(pools={'pool': Pool()}))
 
 
-def test_planned_stop_cuts_no_request() -> None:
-    """Guards against answers cut by a planned stop."""
+def test_planned_stop_completes_running_requests() -> None:
+    """Guards against answers truncated by a planned stop."""
 
     async def scenario() -> None:
         async with make_rig(max_streams=6) as rig:
@@ -82,7 +82,7 @@
 
 
 def test_queued_requests_are_handed_back_on_leaving() -> None:
-    """Guards against requests that wait out a stop before they start."""
+    """Guards against queued requests that wait during a planned stop."""
 
     async def scenario() -> None:
         async with make_rig(max_streams=1) as rig:
@@ -105,7 +105,7 @@
 
 
 def test_second_copy_leaves_the_first_alone() -> None:
-    """Guards against a second copy that cancels a live one's streams."""
+    """Guards against a second copy that cancels the first one's streams."""
 
     async def scenario() -> None:
         async with make_rig() as rig:
@@ -125,7 +125,10 @@
 
 @pytest.mark.parametrize('message_comes_first', [True, False])
 def test_all_work_is_dropped_after_a_pause(message_comes_first: bool) -> None:
-    """Guards against a paused sidecar that goes on with work given away."""
+    """Guards against a sidecar that resumes requests after a pause.
+
+    The entries may have started them elsewhere in the meantime.
+    """
 
     async def scenario() -> None:
         async with make_rig(engine={'keep_orphans': True}) as rig:
@@ -153,7 +156,7 @@
 
 
 def test_configuration_spreads_over_the_sidecar() -> None:
-    """Guards against entries left behind, and against going back."""
+    """Guards against entries with an old version, and against a downgrade."""
 
     async def scenario() -> None:
         async with make_rig() as rig:
@@ -178,7 +181,7 @@
 
 
 class CountingSession:
-    """Counts what goes out at once and what waits for the next write."""
+    """Records messages sent at once and those sent with the next write."""
 
     def __init__(self) -> None:
         self.remote = Hello(1, 'entry', 'entry-1', 'a', 'inc')
@@ -186,11 +189,11 @@
         self.waiting: list[Message] = []
 
     def send(self, message: Message) -> None:
-        """Count a message that goes out at once."""
+        """Record a message that is sent at once."""
         self.sent.append(message)
 
     def send_with_next(self, message: Message) -> None:
-        """Count a message that travels along."""
+        """Record a message that is sent with the next write."""
         self.waiting.append(message)
 
 
@@ -210,7 +213,7 @@
     changed: object,
     at_once: bool,
 ) -> None:
-    """Guards against work sent to an endpoint that can't take it."""
+    """Guards against requests sent to an endpoint that can't accept them."""
     state = Report(
         'pool', True, False, 4, 0, 0, 0, 3, 1.0, 1.0, 'm', '1', '', 0, [], 'a'
     )
@@ -237,7 +240,7 @@
 
 
 def test_events_are_answered_from_the_time_line() -> None:
-    """Guards against requests whose history can't be explained."""
+    """Guards against requests whose events can't be queried."""
 
     async def scenario() -> None:
         async with make_rig() as rig:
--- a/tests/test_sidecar_orders.py
+++ b/tests/test_sidecar_orders.py
@@ -21,7 +21,7 @@
 numbers = itertools.count(1)
 
 
-async def prepare(entry: EntryClient) -> OrderNonce:
+async def request_nonce(entry: EntryClient) -> OrderNonce:
     """Ask for a nonce for a new order."""
     order_id = f'order-{next(numbers)}'
     entry.send(OrderPrepare(order_id))
@@ -31,13 +31,13 @@
     )
 
 
-async def give(
+async def send_order(
     entry: EntryClient,
     nonce: OrderNonce,
     token: int,
     model: str = 'new-model',
 ) -> OrderResult:
-    """Give an order and wait for its outcome."""
+    """Send an order and wait for its outcome."""
     entry.send(
         Order(nonce.order_id, nonce.nonce, token, 'load', model, '2', '', ''),
     )
@@ -49,23 +49,25 @@
 
 @pytest.mark.parametrize('engine_checks', [True, False])
 @pytest.mark.parametrize('restarted', [False, True])
-def test_old_givers_are_refused(engine_checks: bool, restarted: bool) -> None:
-    """Guards against a paused giver that undoes its successor's order.
+def test_orders_of_former_issuers_are_refused(
+    engine_checks: bool, restarted: bool
+) -> None:
+    """Guards against a paused issuer that undoes its successor's order.
 
-    Holds for engines that ignore tokens and after the sidecar's restart.
+    Covers engines that ignore fencing tokens and a restarted sidecar.
     """
 
     async def scenario() -> None:
         options = {'check_tokens': engine_checks, 'load_model_s': 0.01}
         async with make_rig(engine=options) as rig:
             old = await rig.entry('entry-old')
-            stale = await prepare(old)
+            stale = await request_nonce(old)
             if restarted:
                 await rig.crash_sidecar()
                 await rig.restart_sidecar()
                 old = await rig.entry('entry-old')
             new = await rig.entry('entry-new')
-            done = await give(new, await prepare(new), token=7)
+            done = await send_order(new, await request_nonce(new), token=7)
             assert done.accepted
             await new.receive(
                 Report,
@@ -73,7 +75,7 @@
                     (report.model, report.fencing_token) == ('new-model', 7)
                 ),
             )
-            refused = await give(old, stale, token=6, model='old-model')
+            refused = await send_order(old, stale, token=6, model='old-model')
             assert not refused.accepted
             assert refused.reason == (
                 'nonce not valid' if restarted else 'token is stale'
@@ -85,13 +87,15 @@
 
 
 def test_engine_refusal_is_reported() -> None:
-    """Guards against an order counted as done that the engine refused."""
+    """Guards against reporting an order as done that the engine refused."""
 
     async def scenario() -> None:
         async with make_rig() as rig:
             entry = await rig.entry()
             rig.engine.orders.highest_token = 9
-            refused = await give(entry, await prepare(entry), token=8)
+            refused = await send_order(
+                entry, await request_nonce(entry), token=8
+            )
             assert not refused.accepted
             assert rig.engine.orders.applied == []
 
@@ -99,7 +103,7 @@
 
 
 def make_gate() -> tuple[FencingGate, list[float]]:
-    """Return a gate and its clock's time."""
+    """Return a gate and a list that holds its clock's time."""
     now = [0.0]
     return FencingGate(Clock(read=lambda: now[0])), now
 
@@ -109,7 +113,7 @@
     [(0.0, True), (NONCE_LIFE_S - 0.01, True), (NONCE_LIFE_S, False)],
 )
 def test_nonces_expire(age_s: float, admitted: bool) -> None:
-    """Guards against an order that was delayed for long."""
+    """Guards against executing an order that was delayed for long."""
     gate, now = make_gate()
     nonce = gate.prepare('order')
     now[0] = age_s
@@ -117,7 +121,7 @@
 
 
 def test_nonce_serves_one_order_once() -> None:
-    """Guards against a replayed order and a nonce used for another."""
+    """Guards against replayed orders and nonces of another order."""
     gate, _ = make_gate()
     assert gate.admit('b', gate.prepare('a'), 1).is_err()
     nonce = gate.prepare('c')
@@ -126,7 +130,7 @@
 
 
 def test_refused_order_does_not_raise_the_token() -> None:
-    """Guards against a false order that locks the true giver out."""
+    """Guards against a forged order whose high token blocks real orders."""
     gate, _ = make_gate()
     assert gate.admit('a', 'guessed', 1_000_000).is_err()
     assert gate.admit('b', gate.prepare('b'), 1).is_ok()
--- a/tests/test_sidecar_relay.py
+++ b/tests/test_sidecar_relay.py
@@ -9,11 +9,11 @@
 import pytest
 
 from quetzaldyke.connection.messages import Cancel, Window
-from sidecar_rig import make_rig, make_submit, until, full_answer
+from sidecar_rig import full_answer, make_rig, make_submit, until
 
 
 @pytest.mark.parametrize('tokens', [1, 8, 300])
-def test_whole_answer(tokens: int) -> None:
+def test_answer_is_complete(tokens: int) -> None:
     """Guards against lost, repeated or reordered text."""
 
     async def scenario() -> None:
@@ -28,7 +28,7 @@
     anyio.run(scenario)
 
 
-def test_resumed_answer_is_whole() -> None:
+def test_resumed_answer_is_complete() -> None:
     """Guards against a resumption that repeats or skips tokens."""
 
     async def scenario() -> None:
@@ -60,7 +60,7 @@
     ],
 )
 def test_refusals(changes: dict[str, object], ran: str, reason: str) -> None:
-    """Guards against running what must be refused, or refusing silently."""
+    """Guards against running invalid requests, or refusing without a reason."""
 
     async def scenario() -> None:
         async with make_rig() as rig:
@@ -89,7 +89,7 @@
 
 
 def test_engine_killed_in_mid_stream() -> None:
-    """Guards against passing a cut answer off as whole."""
+    """Guards against reporting a truncated answer as complete."""
 
     async def scenario() -> None:
         async with make_rig() as rig:
@@ -115,8 +115,8 @@
     anyio.run(scenario)
 
 
-def test_slow_reader_stalls_nobody() -> None:
-    """Guards against one caller's backpressure reaching another request."""
+def test_slow_reader_does_not_stall_others() -> None:
+    """Guards against one caller's backpressure stalling another request."""
 
     async def scenario() -> None:
         async with make_rig(engine={'step_ms': 0.5}) as rig:
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize('loses_connection', [False, True])
 def test_unwanted_requests_stop_at_the_engine(loses_connection: bool) -> None:
-    """Guards against slots held by answers that nobody reads."""
+    """Guards against slots held by requests whose answer nobody reads."""
 
     async def scenario() -> None:
         async with make_rig(engine={'keep_orphans': True}) as rig:
@@ -162,7 +162,7 @@
 
 
 def test_orphans_are_cancelled_at_the_start() -> None:
-    """Guards against streams of a dead sidecar that hold slots for ever."""
+    """Guards against slots held for ever by streams of a crashed sidecar."""
 
     async def scenario() -> None:
         async with make_rig(engine={'keep_orphans': True}) as rig:
@@ -178,7 +178,7 @@
 
 
 def test_endpoint_that_was_restarted_gets_new_connections() -> None:
-    """Guards against requests lost on connections of a former process."""
+    """Guards against requests sent on connections to the previous process."""
 
     async def scenario() -> None:
         async with make_rig() as rig:
@@ -200,7 +200,7 @@
 
 
 def test_own_streams_are_no_orphans() -> None:
-    """Guards against live streams lost when a hung engine answers again."""
+    """Guards against cancelling live streams when a hung engine recovers."""
 
     async def scenario() -> None:
         async with make_rig() as rig:
@@ -237,7 +237,7 @@
 
 
 def test_sidecar_imports_no_server_library() -> None:
-    """Guards against the memory of libraries that a sidecar never uses."""
+    """Guards against memory spent on libraries that a sidecar never uses."""
     script = (
         'import sys, quetzaldyke.process.sidecar;'
         'print([n for n in ("uvicorn", "starlette", "fire")'
--- a/tests/test_sidecar_service.py
+++ b/tests/test_sidecar_service.py
@@ -48,7 +48,7 @@
             group.cancel_scope.cancel()
 
 
-async def until_refused(address: str) -> None:
+async def wait_until_refused(address: str) -> None:
     """Wait until nothing listens on an address."""
     host, _, port = address.rpartition(':')
     while True:
@@ -60,7 +60,7 @@
         await anyio.sleep(0.002)
 
 
-def booking(booking_id: str) -> Submit:
+def make_booking(booking_id: str) -> Submit:
     """Return a request that makes a booking."""
     return make_submit(
         path='/bookings',
@@ -70,12 +70,12 @@
     )
 
 
-def test_small_answer_comes_whole() -> None:
+def test_small_answer_is_complete() -> None:
     """Guards against a changed status or body of a plain service."""
 
     async def scenario() -> None:
         async with make_service_rig() as (service, entry, _):
-            outcome = await entry.ask(booking('b1'))
+            outcome = await entry.ask(make_booking('b1'))
             assert outcome.end is not None
             assert (outcome.end.status, outcome.end.seq) == (201, 0)
             assert json.loads(outcome.end.body)['id'] == 'b1'
@@ -85,8 +85,8 @@
     anyio.run(scenario)
 
 
-def test_large_answer_waits_for_credit_and_comes_whole() -> None:
-    """Guards against lost parts, and a slow caller that fills the memory."""
+def test_large_answer_waits_for_credit_and_is_complete() -> None:
+    """Guards against lost parts, and unbounded buffering for a slow caller."""
 
     async def scenario() -> None:
         async with make_service_rig() as (service, entry, sidecar):
@@ -102,7 +102,7 @@
             await until(lambda: call.next_seq == 64)
             request = sidecar.runner.requests[submit.request_id]
             await until(lambda: request.answer.full)
-            small = await entry.ask(booking('b1'))
+            small = await entry.ask(make_booking('b1'))
             assert small.end is not None
             assert not call.finished
             waiting = request.answer.waiting_bytes
@@ -123,19 +123,19 @@
     ('fault', 'ran', 'executions'),
     [('lose_answers', 'unknown', 1), ('down', 'not_run', 0)],
 )
-def test_failures_tell_the_truth(
+def test_failures_report_whether_the_request_ran(
     fault: str,
     ran: str,
     executions: int,
 ) -> None:
-    """Guards against a false "not run", which leads to a double booking."""
+    """Guards against a false "not run", whose retry makes a second booking."""
 
     async def scenario() -> None:
         async with make_service_rig() as (service, entry, _):
             setattr(service.faults, fault, 1)
             if fault == 'down':
-                await until_refused(service.address)
-            outcome = await entry.ask(booking('b1'))
+                await wait_until_refused(service.address)
+            outcome = await entry.ask(make_booking('b1'))
             assert outcome.failed is not None
             assert outcome.failed.ran == ran
             assert service.executions['b1'] == executions
