--- a/src/quetzaldyke/process/sidecar.py
+++ b/src/quetzaldyke/process/sidecar.py
@@ -1,4 +1,7 @@
-"""The sidecar: the only path of work and orders to one endpoint."""
+"""The sidecar process, through which all requests reach one endpoint.
+
+Orders to the engine also go only through its sidecar.
+"""
 
 from __future__ import annotations
 
@@ -11,15 +14,15 @@
 from quetzaldyke.connection.links import LinkOptions, listen
 from quetzaldyke.connection.messages import PROTOCOL_VERSION, Hello
 from quetzaldyke.process import sidecar_messages
-from quetzaldyke.process.endpoint_watch import STATE_INTERVAL_S
+from quetzaldyke.process.endpoint_monitor import STATE_INTERVAL_S
 from quetzaldyke.process.settings import SidecarSettings
 from quetzaldyke.process.sidecar_drain import drain
 from quetzaldyke.process.sidecar_state import SidecarProcess
 
-# Each run of a timer costs about 70 us of processor time. Late grants and
-# passed deadlines are also checked at each start.
+# Each run of a timer costs about 70 us of CPU time. Expired grants and
+# deadlines are also checked when a request starts.
 REPORT_INTERVAL_S: Final = 0.1
-PUMP_INTERVAL_S: Final = 0.25
+SCHEDULE_INTERVAL_S: Final = 0.25
 CACHE_INTERVAL_S: Final = 1.0
 FORGET_INTERVAL_S: Final = 60.0
 
@@ -31,8 +34,9 @@
 ) -> None:
     """Run one sidecar until `stopping` is set and the drain is complete.
 
-    The listen port is bound before the engine's orphans are cancelled: it is
-    the lock that keeps a second copy from cancelling a live one's streams.
+    The listening port is bound before the engine's orphaned streams are
+    cancelled. It is the lock that keeps a second copy of the sidecar from
+    cancelling the streams of the running one.
     """
     async with anyio.create_task_group() as group:
         process = SidecarProcess.from_settings(settings, group)
@@ -43,31 +47,31 @@
         )
         subscribe_timers(process)
         group.start_soon(process.timers.run)
-        group.start_soon(process.watch.run)
+        group.start_soon(process.monitor.run)
         process.log_event('sidecar_started', address=process.peer_address)
         task_status.started(process)
         await process.stopping.wait()
         await drain(process)
         process.log_event('sidecar_stopped')
         group.cancel_scope.cancel()
-    await process.streams.client.connections.aclose()
+    await process.runner.client.connections.aclose()
 
 
 def make_link_options(process: SidecarProcess) -> LinkOptions:
-    """Return what every connection of the sidecar needs."""
+    """Return the options for all connections of the sidecar."""
     return LinkOptions(
         process.settings.fleet_secret,
         process.clock,
         lambda: make_hello(process),
         lambda: process.config.version,
         sidecar_messages.make_open_handler(process),
-        sidecar_messages.make_handler(process),
+        sidecar_messages.make_message_handler(process),
         sidecar_messages.make_close_handler(process),
     )
 
 
 def make_hello(process: SidecarProcess) -> Hello:
-    """Return the sidecar's first message on a connection."""
+    """Return the first message that the sidecar sends on a connection."""
     settings = process.settings
     return Hello(
         PROTOCOL_VERSION,
@@ -81,35 +85,45 @@
     )
 
 
-def every(step: Callable[[], object]) -> Callable[[], Awaitable[None]]:
-    """Return a timer's job that runs one synchronous step."""
+def make_timer_job(
+    callback: Callable[[], object],
+) -> Callable[[], Awaitable[None]]:
+    """Return an async timer job that calls a synchronous function."""
 
     async def job() -> None:
-        step()
+        callback()
 
     return job
 
 
 def subscribe_timers(process: SidecarProcess) -> None:
-    """Plan the sidecar's periodic work."""
+    """Schedule the periodic jobs and the handling of pauses."""
     timers = process.timers
 
     def report_failure(name: str, exc: Exception) -> None:
         process.log_event('timer_failed', timer=name, reason=repr(exc))
 
-    def pump() -> None:
+    def adjust_and_schedule() -> None:
         process.admission.limit.adjust(process.timers.clock.now())
-        process.admission.pump()
+        process.admission.schedule()
 
     def forget_old() -> None:
         process.peers.suspects.forget_old(process.peers.now_ms())
 
     timers.on_failure = report_failure
-    timers.subscribe('report', REPORT_INTERVAL_S, every(process.peers.report))
-    timers.subscribe('pump', PUMP_INTERVAL_S, every(pump))
-    timers.subscribe('forget', FORGET_INTERVAL_S, every(forget_old))
-    timers.subscribe('cache', CACHE_INTERVAL_S, process.watch.read_cache)
-    timers.subscribe('state', STATE_INTERVAL_S, process.watch.read_state)
+    timers.subscribe(
+        'report', REPORT_INTERVAL_S, make_timer_job(process.peers.report)
+    )
+    timers.subscribe(
+        'pump', SCHEDULE_INTERVAL_S, make_timer_job(adjust_and_schedule)
+    )
+    timers.subscribe('forget', FORGET_INTERVAL_S, make_timer_job(forget_old))
+    timers.subscribe(
+        'cache', CACHE_INTERVAL_S, process.monitor.read_cache_events
+    )
+    timers.subscribe(
+        'state', STATE_INTERVAL_S, process.monitor.read_engine_state
+    )
     timers.on_wakeup(
-        lambda gap_s: sidecar_messages.note_gap(process, gap_s),
+        lambda gap_s: sidecar_messages.handle_pause(process, gap_s),
     )
