--- a/src/quetzaldyke/version/latest.py
+++ b/src/quetzaldyke/version/version_hint.py
@@ -1,10 +1,10 @@
-"""A small value that says which version may exist by now.
+"""Stores a hint of the highest configuration version that may exist.
 
-Entries read it every few seconds instead of `config`: at the target size
-the configuration takes 255 KB, which would be 64 KB/s for each entry. It is
-written before a patch, so that no accepted version can be missed when the
+Entries poll this small value instead of `config`: at the target size the
+configuration takes 255 KB, which would be 64 KB/s for each entry. The hint
+is written before a patch, so that no accepted version is missed when the
 writer dies in between. It may be one version too high when the patch then
-fails; readers look at `config` a few times for each change of it.
+fails; readers therefore read `config` only a few times for each change.
 """
 
 from __future__ import annotations
@@ -24,64 +24,70 @@
     swap,
 )
 
-LATEST_KEY: Final = 'latest_config'
-# Reads of `config` for one change of the hint. A write that was under way
-# when the hint was read is seen by the second one, 4 s later.
-READS_FOR_CHANGE: Final = 3
+VERSION_HINT_KEY: Final = 'latest_config'
+# Reads of `config` for one change of the hint. A write that was in progress
+# when the hint was read is seen by the second read, 4 s later.
+READS_PER_HINT_CHANGE: Final = 3
 MAX_TRIES: Final = 3
-# `config` is read all the same once in so many polls (a minute), in case it
-# was written by other means.
+# Every this many polls (once a minute) `config` is read whatever the hint
+# says, in case it was written without one.
 FULL_READ_POLLS: Final = 15
 
 
-def version_in(payload: bytes) -> int:
-    """Return the version in the value.
+def parse_version(payload: bytes) -> int:
+    """Return the version in a stored hint; 0 if it is empty.
 
-    >>> version_in(b''), version_in(b'12')
+    >>> parse_version(b''), parse_version(b'12')
     (0, 12)
     """
     return int(payload or b'0')
 
 
-async def write_latest(
+async def write_version_hint(
     store: KeyValueStore,
     version: int,
 ) -> Result[Stored, KvError]:
-    """Say that a version may exist soon; always changes the revision."""
+    """Raise the hint to `version`; always changes its revision.
+
+    A higher version that is stored stays.
+    """
 
     def change(payload: bytes) -> bytes:
-        return str(max(version, version_in(payload))).encode()
+        return str(max(version, parse_version(payload))).encode()
 
     for _ in range(MAX_TRIES):
         outcome: Result[Stored, KvError | Refused[None]] = await swap(
             store,
-            LATEST_KEY,
+            VERSION_HINT_KEY,
             change,
         )
         written = outcome.map_err(as_kv_error)
-        # Writing the same version twice does no harm.
+        # A retry is safe: writing the same version twice does no harm.
         if written.is_ok() or written.unwrap_err().kind != 'unknown':
             break
     return written
 
 
 def as_kv_error(failure: KvError | Refused[None]) -> KvError:
-    """Return the failure of a swap that never declines."""
+    """Return the failure of a swap whose change function never refuses."""
     assert isinstance(failure, KvError)
     return failure
 
 
 @dataclass(slots=True)
-class LatestReader:
-    """Decides when `config` has to be read."""
+class VersionHintReader:
+    """Decides from the hint when `config` has to be read."""
 
     seen_revision: int = 0
     reads_left: int = 0
     polls: int = 0
 
     async def should_read(self, store: KeyValueStore, version: int) -> bool:
-        """Tell whether a version above `version` may exist."""
-        answer = await read(store, LATEST_KEY)
+        """Tell whether a version above `version` may exist.
+
+        False if the hint can't be read.
+        """
+        answer = await read(store, VERSION_HINT_KEY)
         if isinstance(answer, Err):
             return False
         stored = answer.ok_value
@@ -90,8 +96,8 @@
             return True
         if stored.revision != self.seen_revision:
             self.seen_revision = stored.revision
-            self.reads_left = READS_FOR_CHANGE
-        if version_in(stored.payload) <= version or not self.reads_left:
+            self.reads_left = READS_PER_HINT_CHANGE
+        if parse_version(stored.payload) <= version or not self.reads_left:
             return False
         self.reads_left -= 1
         return True
