--- a/src/quetzaldyke/durable/inputs.py
+++ b/src/quetzaldyke/durable/inputs.py
@@ -34,7 +34,7 @@
 COMPRESSION_LEVEL: Final = 6
 MAX_FINDINGS: Final = 20
 MAX_CUSTOM_ID_CHARS: Final = 256
-MAX_PUT_TRIES: Final = 8
+MAX_PUT_ATTEMPTS: Final = 8
 
 
 @dataclass(frozen=True, slots=True)
@@ -189,12 +189,12 @@
 ) -> Result[None, KvError]:
     """Create a key whose name determines its contents, with retries.
 
-    A conflict counts as success, because it means that an earlier try or
-    another process has created the key. The error is `unknown` when a try
-    may have taken effect.
+    A conflict counts as success, because it means that an earlier attempt
+    or another process has created the key. The error is `unknown` when an
+    attempt may have taken effect.
     """
     error = KvError('unavailable')
-    for _ in range(MAX_PUT_TRIES):
+    for _ in range(MAX_PUT_ATTEMPTS):
         written = await store.put_if(key, contents, ABSENT)
         if isinstance(written, Ok) or written.err_value.kind == 'conflict':
             return Ok(None)
