--- a/src/quetzaldyke/gateway/attempt.py
+++ b/src/quetzaldyke/gateway/attempt.py
@@ -210,7 +210,7 @@
         endpoints = self.context.dispatcher.endpoints
         now_s = self.context.now()
         if exc.failure is Failure.STALLED:
-            since_s = self.reservation.taken_s
+            since_s = self.reservation.reserved_s
         elif exc.failure is Failure.BROKEN:
             since_s = now_s - RECENTLY_SERVING_S
         else:
@@ -236,7 +236,7 @@
             attempts=self.progress.attempts,
             last_event=self.progress.splitter.last_id,
             waited_ms=int(
-                (self.context.now() - self.reservation.taken_s) * MS_IN_S,
+                (self.context.now() - self.reservation.reserved_s) * MS_IN_S,
             ),
             running=self.progress.running,
             ejected_s=ejected_s,
--- a/src/quetzaldyke/gateway/dispatcher.py
+++ b/src/quetzaldyke/gateway/dispatcher.py
@@ -59,7 +59,7 @@
 
     endpoint: Endpoint
     online: bool
-    taken_s: float
+    reserved_s: float
     # Whether the endpoint had no free slot at the time of the reservation, so
     # that the request waits in the endpoint's own queue.
     queued: bool
@@ -144,7 +144,7 @@
         service = reservation.endpoint.service
         if reservation.online:
             counts.online -= 1
-            held_s = self.clock.now() - reservation.taken_s
+            held_s = self.clock.now() - reservation.reserved_s
             self.queue(service).record_hold(held_s)
         else:
             counts.batch -= 1
--- a/src/quetzaldyke/gateway/ingress.py
+++ b/src/quetzaldyke/gateway/ingress.py
@@ -283,7 +283,7 @@
             status=status,
             reason=reason,
             elapsed_ms=int(elapsed_ms),
-            placed_ms=span_ms(online.arrived_s, progress.placed_s),
+            placed_ms=span_ms(online.arrived_s, progress.reserved_s),
             first_ms=span_ms(online.arrived_s, progress.first_event_at_s),
             deadline_ms=span_ms(online.arrived_s, online.deadline_s),
             endpoint=progress.endpoint_id,
--- a/src/quetzaldyke/gateway/job_api.py
+++ b/src/quetzaldyke/gateway/job_api.py
@@ -20,7 +20,7 @@
 from quetzaldyke.parts.kv import KvError
 from quetzaldyke.platform import names
 from quetzaldyke.platform.jobs import (
-    ReadResult,
+    ItemResult,
     decode_submission,
     encode_results,
 )
@@ -182,7 +182,7 @@
         """Return an encoded page of results, bounded by its output size."""
         assert view.record is not None
         assert view.state is not None
-        results: list[ReadResult] = []
+        results: list[ItemResult] = []
         size = 0
         for result in view.state.results[after:]:
             outputs = await self.store.read_outputs(
@@ -196,7 +196,7 @@
             if results and size > MAX_PAGE_BYTES:
                 break
             item = view.record.items[result.item]
-            results.append(ReadResult(item.item_id, result.completed, output))
+            results.append(ItemResult(item.item_id, result.completed, output))
         total = len(view.record.items)
         return Ok(encode_results(total, after, results))
 
--- a/src/quetzaldyke/gateway/membership.py
+++ b/src/quetzaldyke/gateway/membership.py
@@ -86,7 +86,7 @@
         """Revoke the lease, so that other entries take over at once."""
         self.ended = True
         if self.lease_id:
-            await self.store.end_lease(self.lease_id)
+            await self.store.revoke_lease(self.lease_id)
 
 
 @dataclass(slots=True)
--- a/src/quetzaldyke/gateway/online_request.py
+++ b/src/quetzaldyke/gateway/online_request.py
@@ -74,16 +74,16 @@
     first_event_at_s: float = 0.0
     # When the request was last placed, and the number of requests that the
     # endpoint was then assumed to run.
-    placed_s: float = 0.0
+    reserved_s: float = 0.0
     running: int = 0
     # Chunks with whole events received in the latest attempt.
     event_chunks: int = 0
 
-    def begin_send(self, endpoint_id: str, placed_s: float) -> None:
+    def begin_send(self, endpoint_id: str, reserved_s: float) -> None:
         """Record the endpoint that the request is sent to next."""
         self.sends += 1
         self.endpoint_id = endpoint_id
-        self.placed_s = placed_s
+        self.reserved_s = reserved_s
         self.event_chunks = 0
 
     def note_events(self, now_s: float) -> None:
--- a/src/quetzaldyke/gateway/relay.py
+++ b/src/quetzaldyke/gateway/relay.py
@@ -69,7 +69,7 @@
         reservation = placed.ok_value
         exchange = Exchange(names.ATTEMPT_ID, request.request_id)
         progress.begin_send(
-            reservation.endpoint.endpoint_id, reservation.taken_s
+            reservation.endpoint.endpoint_id, reservation.reserved_s
         )
         progress.running = context.dispatcher.loads.total(progress.endpoint_id)
         attempt = Attempt(
--- a/src/quetzaldyke/gateway/stalls.py
+++ b/src/quetzaldyke/gateway/stalls.py
@@ -40,7 +40,7 @@
     if endpoints.sent_since(
         reservation.endpoint.endpoint_id, now_s - silence_timeout_s
     ):
-        return reservation.taken_s + QUEUED_TIMEOUT_S
+        return reservation.reserved_s + QUEUED_TIMEOUT_S
     return 0.0
 
 
--- a/src/quetzaldyke/parts/transactions.py
+++ b/src/quetzaldyke/parts/transactions.py
@@ -101,5 +101,5 @@
     async def renew_lease(self, lease_id: int) -> Result[None, KvError]:
         """Extend a lease; `no_lease` when it has lapsed."""
 
-    async def end_lease(self, lease_id: int) -> Result[None, KvError]:
+    async def revoke_lease(self, lease_id: int) -> Result[None, KvError]:
         """End a lease and delete its keys."""
--- a/src/quetzaldyke/platform/jobs.py
+++ b/src/quetzaldyke/platform/jobs.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReadResult:
+class ItemResult:
     """One result as a caller reads it."""
 
     item_id: str
@@ -71,7 +71,7 @@
     )
 
 
-def encode_results(total: int, start: int, results: list[ReadResult]) -> bytes:
+def encode_results(total: int, start: int, results: list[ItemResult]) -> bytes:
     """Encode the results from a position on."""
     rows = [
         {
--- a/src/quetzaldyke/platform/store.py
+++ b/src/quetzaldyke/platform/store.py
@@ -219,7 +219,7 @@
             return Err(KvError('no_lease'))
         return Ok(None)
 
-    async def end_lease(self, lease_id: int) -> Result[None, KvError]:
+    async def revoke_lease(self, lease_id: int) -> Result[None, KvError]:
         """End a lease."""
         answer = await self.call('DELETE', f'kv-lease-end/{lease_id}')
         return answer if isinstance(answer, Err) else Ok(None)
--- a/src/quetzaldyke/standins/platform_store.py
+++ b/src/quetzaldyke/standins/platform_store.py
@@ -143,7 +143,7 @@
         self.leases[lease] = HeldLease(ttl_s, self.now() + ttl_s)
         return lease
 
-    def end_lease(self, lease: int) -> None:
+    def revoke_lease(self, lease: int) -> None:
         """End a lease and remove its keys."""
         self.leases.pop(lease, None)
         keys = [key for key, item in self.items.items() if item.lease == lease]
@@ -157,7 +157,7 @@
         now_s = self.now()
         for lease, held in list(self.leases.items()):
             if held.ends_s <= now_s:
-                self.end_lease(lease)
+                self.revoke_lease(lease)
 
     def transact(self, call: dict[str, Any]) -> tuple[int, dict[str, Any]]:
         """Apply a transaction; return status and answer."""
@@ -326,7 +326,7 @@
 
     async def lease_end(self, request: Request) -> Response:
         """End a lease."""
-        self.state.end_lease(request.path_params['lease'])
+        self.state.revoke_lease(request.path_params['lease'])
         return answer({})
 
     async def set_faults(self, request: Request) -> Response:
@@ -336,7 +336,7 @@
             self.state.forget_history()
         if wanted.pop('lapse', False):
             for lease in list(self.state.leases):
-                self.state.end_lease(lease)
+                self.state.revoke_lease(lease)
         for name, setting in wanted.items():
             setattr(self.faults, name, setting)
         return answer({'calls': self.calls})
--- a/tests/gateway_fleet.py
+++ b/tests/gateway_fleet.py
@@ -71,7 +71,7 @@
 
 
 @dataclass(slots=True)
-class Program:
+class FleetProcess:
     """One process that this fleet has started."""
 
     name: str
@@ -80,7 +80,7 @@
     log: IO[bytes]
     process: Process | None = None
     # Set while it is meant to be stopped or paused.
-    faulted: bool = False
+    disrupted: bool = False
 
     async def start(self) -> None:
         """Start the process."""
@@ -121,10 +121,10 @@
     folder: Path
     stack: AsyncExitStack
     client: HttpClient = field(default_factory=HttpClient)
-    programs: dict[str, Program] = field(default_factory=dict)
+    processes: dict[str, FleetProcess] = field(default_factory=dict)
     ports: dict[str, EntryPorts] = field(default_factory=dict)
     endpoints: dict[str, int] = field(default_factory=dict)
-    links: dict[str, Proxy] = field(default_factory=dict)
+    store_proxies: dict[str, Proxy] = field(default_factory=dict)
     store_port: int = 0
     version: int = 0
 
@@ -185,7 +185,7 @@
         self.ports[name] = ports
         link = await Proxy.listen(free_port(), self.store_port)
         self.stack.callback(link.close)
-        self.links[name] = link
+        self.store_proxies[name] = link
         path = self.folder / f'{name}.toml'
         path.write_text(
             SETTINGS.format(
@@ -220,8 +220,8 @@
         """Start a process that ends with the fleet."""
         log = (self.folder / f'{name}.log').open('ab')
         self.stack.callback(log.close)
-        program = Program(name, command, environ, log)
-        self.programs[name] = program
+        program = FleetProcess(name, command, environ, log)
+        self.processes[name] = program
         await program.start()
         self.stack.push_async_callback(program.kill)
 
--- a/tests/gateway_kit.py
+++ b/tests/gateway_kit.py
@@ -190,9 +190,9 @@
             return Ok(None)
         return Err(KvError('no_lease'))
 
-    async def end_lease(self, lease_id: int) -> Result[None, KvError]:
+    async def revoke_lease(self, lease_id: int) -> Result[None, KvError]:
         """End a lease."""
-        self.state.end_lease(lease_id)
+        self.state.revoke_lease(lease_id)
         return Ok(None)
 
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -225,8 +225,8 @@
     """Draw a process that no other fault has at the moment."""
     names = sorted(
         name
-        for name, program in soak.fleet.programs.items()
-        if name.startswith(kind) and not program.faulted
+        for name, program in soak.fleet.processes.items()
+        if name.startswith(kind) and not program.disrupted
     )
     return soak.generator.choice(names) if names else ''
 
@@ -235,8 +235,8 @@
     """End a process by a signal and start it again."""
     if not name:
         return
-    program = soak.fleet.programs[name]
-    program.faulted = True
+    program = soak.fleet.processes[name]
+    program.disrupted = True
     program.signal(number)
     if program.process is not None:
         with anyio.move_on_after(8):
@@ -244,7 +244,7 @@
         await program.kill()
     await anyio.sleep(soak.generator.random())
     await program.start()
-    program.faulted = False
+    program.disrupted = False
 
 
 async def kill_entry(soak: Soak) -> None:
@@ -268,12 +268,12 @@
     """Pause a process for up to two seconds."""
     if not name:
         return
-    program = soak.fleet.programs[name]
-    program.faulted = True
+    program = soak.fleet.processes[name]
+    program.disrupted = True
     program.signal(signal.SIGSTOP)
     await anyio.sleep(0.3 + soak.generator.random() * 1.7)
     program.signal(signal.SIGCONT)
-    program.faulted = False
+    program.disrupted = False
 
 
 async def pause_entry(soak: Soak) -> None:
@@ -293,7 +293,7 @@
 
 async def harm_link(soak: Soak) -> None:
     """Harm one entry's link to the store."""
-    link = soak.fleet.links[soak.entry()]
+    link = soak.fleet.store_proxies[soak.entry()]
     link.harm = soak.generator.choice(['slow', 'one_way', 'silent', 'refuse'])
     if link.harm == 'refuse':
         link.reset()
@@ -304,7 +304,7 @@
 
 async def reset_links(soak: Soak) -> None:
     """Break every connection to the store."""
-    for link in soak.fleet.links.values():
+    for link in soak.fleet.store_proxies.values():
         link.reset()
 
 
--- a/tests/test_gateway_attempts.py
+++ b/tests/test_gateway_attempts.py
@@ -178,7 +178,7 @@
     assert extended_deadline_s(endpoints, reservation, 0.15, now_s) == 0.0
     endpoints.note_bytes('e1', now_s - 0.1)
     until_s = extended_deadline_s(endpoints, reservation, 0.15, now_s)
-    assert until_s == reservation.taken_s + QUEUED_TIMEOUT_S
+    assert until_s == reservation.reserved_s + QUEUED_TIMEOUT_S
     exchange = Exchange(expires_at_s=now_s, extend=lambda now: until_s)
     assert not exchange.check_timeout(now_s + 0.01)
     assert exchange.check_timeout(until_s + 0.01)
--- a/tests/test_gateway_processes.py
+++ b/tests/test_gateway_processes.py
@@ -98,7 +98,7 @@
             for number in range(4):
                 group.start_soon(stream, f'r{number}')
             await anyio.sleep(0.12)
-            await fleet.programs['i-lm0'].kill()
+            await fleet.processes['i-lm0'].kill()
         assert answers == {
             request_id: (200, whole(request_id)) for request_id in answers
         }
@@ -119,13 +119,13 @@
             for number in range(3):
                 group.start_soon(stream, number)
             await anyio.sleep(0.1)
-            fleet.programs['entry-0'].signal(signal.SIGTERM)
+            fleet.processes['entry-0'].signal(signal.SIGTERM)
             # The balancer goes on sending for two readiness periods.
             for number in range(3, 9):
                 await anyio.sleep(0.2)
                 group.start_soon(stream, number)
         assert [status for status, _ in answers] == [200] * 9
-        process = fleet.programs['entry-0'].process
+        process = fleet.processes['entry-0'].process
         assert process is not None
         with anyio.fail_after(10):
             assert await process.wait() == 0
@@ -154,7 +154,7 @@
             {'Attempt-Id': 'j'},
         )
         assert status == 202
-        await fleet.programs['entry-0'].kill()
+        await fleet.processes['entry-0'].kill()
         other = fleet.ports['entry-1'].front
         results: list[dict[str, str]] = []
         with anyio.fail_after(20):
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -16,7 +16,7 @@
 from quetzaldyke.gateway.store_path import StorePath
 from quetzaldyke.parts.transactions import Put, Transaction
 from quetzaldyke.platform.jobs import (
-    ReadResult,
+    ItemResult,
     decode_submission,
     encode_results,
 )
@@ -175,7 +175,7 @@
     assert isinstance(decoded, Ok)
     assert decoded.ok_value[0].body == b'hi'
     assert isinstance(decode_submission(b'[]'), Err)
-    page = orjson.loads(encode_results(3, 1, [ReadResult('i', False, b'')]))
+    page = orjson.loads(encode_results(3, 1, [ItemResult('i', False, b'')]))
     assert (page['total'], page['next']) == (3, 2)
     assert page['results'][0]['state'] == 'dead_letter'
 
@@ -260,7 +260,7 @@
         put = Transaction({}, (Put('m', b'', lease_id),))
         assert isinstance(await store.transact(put), Ok)
         assert await store.renew_lease(lease_id) == Ok(None)
-        assert await store.end_lease(lease_id) == Ok(None)
+        assert await store.revoke_lease(lease_id) == Ok(None)
         assert 'm' not in standin.state.items
         renewed = await store.renew_lease(lease_id)
         assert isinstance(renewed, Err)
