--- a/src/quetzaldyke/gateway/online_request.py
+++ b/src/quetzaldyke/gateway/online_request.py
@@ -72,8 +72,8 @@
     last_failure: str = ''
     endpoint_id: str = ''
     first_event_at_s: float = 0.0
-    # When the request was last placed, and the number of requests that the
-    # endpoint was then assumed to run.
+    # When a slot was last reserved for the request, and the number of requests
+    # that the endpoint was then assumed to run.
     reserved_s: float = 0.0
     running: int = 0
     # Chunks with whole events received in the latest attempt.
--- a/src/quetzaldyke/gateway/relay.py
+++ b/src/quetzaldyke/gateway/relay.py
@@ -56,17 +56,17 @@
             Refusal('crashes_endpoints', CRASHING_REQUEST_RETRY_S),
         )
     while True:
-        placed = await context.dispatcher.acquire(
+        acquired = await context.dispatcher.acquire(
             request.service,
             request.route,
             request.deadline_s,
             progress.tried_endpoints,
             already_sent=progress.sends > 0,
         )
-        if isinstance(placed, Err):
-            log_refusal(context, request, placed.err_value)
-            return await refuse(caller, progress, placed.err_value)
-        reservation = placed.ok_value
+        if isinstance(acquired, Err):
+            log_refusal(context, request, acquired.err_value)
+            return await refuse(caller, progress, acquired.err_value)
+        reservation = acquired.ok_value
         exchange = Exchange(names.ATTEMPT_ID, request.request_id)
         progress.begin_send(
             reservation.endpoint.endpoint_id, reservation.reserved_s
@@ -91,7 +91,7 @@
     request: OnlineRequest,
     refusal: Refusal,
 ) -> None:
-    """Log why a request was not placed on an endpoint."""
+    """Log why no slot was reserved for a request."""
     context.log_event(
         'request_not_placed',
         request=request.request_id.decode('latin-1'),
@@ -110,7 +110,7 @@
     progress: Progress,
     refusal: Refusal,
 ) -> Outcome:
-    """Send the final response to a request that was not placed.
+    """Send the final response to a request that got no slot.
 
     The response is 503 with Retry-After only if no endpoint can have run the
     request; otherwise it is 502. Raises `IncompleteResponseError` if a
--- a/tests/test_gateway_routing.py
+++ b/tests/test_gateway_routing.py
@@ -125,9 +125,9 @@
 def test_removal_counts_when_only_this_entry_lost_the_store() -> None:
     """Guards against treating a removal as a lapse after a local pause.
 
-    Found by a soak test with random faults: an entry that was frozen for a
-    second saw its calls to the store time out, assumed an outage of the
-    store, and kept sending requests to an endpoint that had been removed.
+    Found by a simulated run with randomized faults: an entry that was frozen
+    for a second saw its calls to the store time out, assumed an outage of
+    the store, and kept sending requests to an endpoint that had been removed.
     """
     path = StorePath(('s', 1))
     path.note_peer('p', ('p', 2), store_up_s=60.0, now_s=9.9)
