--- a/src/quetzaldyke/gateway/keeper.py
+++ b/src/quetzaldyke/gateway/keeper.py
@@ -1,7 +1,7 @@
-"""The keeper process on instances with a disk.
+"""Runs the keeper process of an instance with a disk.
 
-The project keeps nothing on local disks, so an instance that is to be
-emptied is empty already. The keeper says so when the operator asks.
+Nothing is stored on local disks, so an instance that the operator wants to
+retire holds no data to move. The keeper reports it as emptied on request.
 """
 
 from __future__ import annotations
@@ -27,19 +27,19 @@
     WatchedChange,
 )
 from quetzaldyke.platform import names
-from quetzaldyke.platform.retire import EMPTIED
+from quetzaldyke.platform.retire import EMPTIED_STATUS
 from quetzaldyke.platform.store import PlatformStore
 
 WATCH_WAIT_S: Final = 20.0
-RETRY_PAUSE_S: Final = 0.3
+RETRY_DELAY_S: Final = 0.3
 
 
 async def run_keeper(installation: Installation) -> None:
-    """Answer requests to empty this instance until the planned stop."""
+    """Answer the request to empty this instance; return at shutdown."""
     clock = Clock()
     health = StoreHealth()
-    health.on_lost.append(lambda: log_dependency('dependency_lost'))
-    health.on_regained.append(lambda: log_dependency('dependency_regained'))
+    health.on_lost.append(lambda: log_store_event('dependency_lost'))
+    health.on_regained.append(lambda: log_store_event('dependency_regained'))
     store = PlatformStore.from_address(
         installation.store_address,
         HttpClient(),
@@ -50,21 +50,21 @@
     )
     own_key = f'{names.RETIRE_PREFIX}{installation.instance}'
     status_key = f'{names.RETIRE_STATUS_PREFIX}{installation.instance}'
-    asked = anyio.Event()
+    requested = anyio.Event()
 
     def on_snapshot(snapshot: Snapshot) -> None:
         if any(record.key == own_key for record in snapshot.records):
-            asked.set()
+            requested.set()
 
     def on_changes(changes: list[WatchedChange], revision: int) -> None:
         if any(change.key == own_key for change in changes):
-            asked.set()
+            requested.set()
 
-    async def answer() -> None:
-        await asked.wait()
-        write = Transaction({}, (Put(status_key, EMPTIED),))
-        while isinstance(await store.transact(write), Err):
-            await anyio.sleep(RETRY_PAUSE_S)
+    async def report_emptied() -> None:
+        await requested.wait()
+        transaction = Transaction({}, (Put(status_key, EMPTIED_STATUS),))
+        while isinstance(await store.transact(transaction), Err):
+            await anyio.sleep(RETRY_DELAY_S)
         log_event('instance_emptied', instance=installation.instance)
 
     watcher = PrefixWatcher(
@@ -77,24 +77,24 @@
     log_event('keeper_started', instance=installation.instance)
     async with anyio.create_task_group() as group:
         group.start_soon(watcher.run)
-        group.start_soon(answer)
+        group.start_soon(report_emptied)
         await wait_for_stop()
         group.cancel_scope.cancel()
     log_event('keeper_stopped')
 
 
-def log_dependency(event: str) -> None:
-    """Log that the store was lost or regained."""
+def log_store_event(event: str) -> None:
+    """Log an event about the connection to the store."""
     log_event(event, dependency='store')
 
 
 async def wait_for_stop() -> None:
-    """Return when a planned stop is asked for."""
+    """Wait for SIGTERM or SIGINT; ignore SIGHUP."""
     with anyio.open_signal_receiver(
         signal.SIGTERM,
         signal.SIGINT,
         signal.SIGHUP,
     ) as signals:
-        async for number in signals:
-            if number != signal.SIGHUP:
+        async for received in signals:
+            if received != signal.SIGHUP:
                 return
--- a/src/quetzaldyke/platform/__init__.py
+++ b/src/quetzaldyke/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the platform: its names, formats and calls, no decisions."""
+"""Adapter to the platform: names, record formats and store calls only."""
--- a/src/quetzaldyke/platform/jobs.py
+++ b/src/quetzaldyke/platform/jobs.py
@@ -1,4 +1,4 @@
-"""Decodes submitted batch jobs and encodes what callers read of them."""
+"""Decodes submitted batch jobs and encodes pages of their results."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmittedItem:
-    """One item as its caller sent it."""
+    """An item of a submitted job."""
 
     item_id: str
     path: str
     headers: tuple[tuple[str, str], ...]
-    # Tokens of the prompt and the longest output together.
+    # Prompt tokens plus the maximum number of output tokens.
     tokens: int
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class ItemResult:
-    """One result as a caller reads it."""
+    """The final result of an item; `output` is empty if it failed."""
 
     item_id: str
     completed: bool
     output: bytes
 
 
-class ItemRow(BaseModel):
-    """One item on the wire."""
+class ItemRecord(BaseModel):
+    """An item in the request body; `body` is in base64."""
 
     model_config = ConfigDict(extra='ignore')
 
@@ -44,24 +44,24 @@
 
 
 class Submission(BaseModel):
-    """A whole job on the wire."""
+    """The request body of a job submission."""
 
     model_config = ConfigDict(extra='ignore')
 
-    items: list[ItemRow]
+    items: list[ItemRecord]
 
 
 def decode_submission(raw: bytes) -> Result[list[SubmittedItem], str]:
-    """Decode the body of a submission."""
+    """Decode the items of a job submission; fail with the reason."""
     try:
         rows = Submission.model_validate(orjson.loads(raw)).items
-        return Ok([decode_item(row) for row in rows])
+        return Ok([to_submitted_item(row) for row in rows])
     except (ValidationError, ValueError) as exc:
         return Err(str(exc))
 
 
-def decode_item(row: ItemRow) -> SubmittedItem:
-    """Translate one item."""
+def to_submitted_item(row: ItemRecord) -> SubmittedItem:
+    """Convert an item; raises `ValueError` for an invalid base64 body."""
     return SubmittedItem(
         item_id=row.id,
         path=row.path,
@@ -72,14 +72,18 @@
 
 
 def encode_results(total: int, start: int, results: list[ItemResult]) -> bytes:
-    """Encode the results from a position on."""
+    """Encode a page of results.
+
+    `total` counts all items of the job; `start` is the index of the first
+    result of this page.
+    """
     rows = [
         {
-            'id': one.item_id,
-            'state': 'completed' if one.completed else 'dead_letter',
-            'output': one.output.decode('utf-8', 'replace'),
+            'id': result.item_id,
+            'state': 'completed' if result.completed else 'dead_letter',
+            'output': result.output.decode('utf-8', 'replace'),
         }
-        for one in results
+        for result in results
     ]
     return orjson.dumps(
         {'total': total, 'next': start + len(results), 'results': rows},
--- a/src/quetzaldyke/platform/names.py
+++ b/src/quetzaldyke/platform/names.py
@@ -1,24 +1,24 @@
-"""Header names, paths and key prefixes of the platform."""
+"""Header names, paths, store keys and variables that the platform defines."""
 
 from __future__ import annotations
 
 from typing import Final
 
-# Identifies one attempt of a caller; endpoints echo it.
+# Identifies one attempt of a caller; endpoints return it in the response.
 ATTEMPT_ID: Final = b'attempt-id'
-# Milliseconds that the sender will wait.
+# Milliseconds for which the sender will wait for the response.
 DEADLINE: Final = b'deadline-ms'
-# Any endpoint with another id rejects the request.
+# Id of the endpoint that the request is for; any other endpoint rejects it.
 EXPECTED_ENDPOINT: Final = b'expect-instance'
-# Number of the last event that was received.
+# Number of the last event of a stream that was received.
 LAST_EVENT: Final = b'last-event-id'
-# Present only on answers of requests that did not run.
+# Present only on responses to requests that were not executed.
 NOT_RUN: Final = b'not-executed'
-# Proof that an endpoint made the answer.
+# Signature that proves that an endpoint produced the response.
 SIGNATURE: Final = b'response-signature'
-# Running, waiting, slots of the endpoint.
+# Running requests, waiting requests and slots of the endpoint.
 LOAD: Final = b'server-load'
-# Milliseconds that a read may wait for a result.
+# Milliseconds that a read of a job may wait for new results.
 WAIT: Final = b'wait-ms'
 RETRY_AFTER: Final = b'retry-after'
 
--- a/src/quetzaldyke/platform/records.py
+++ b/src/quetzaldyke/platform/records.py
@@ -1,7 +1,7 @@
 """Decodes the records that the operator and the endpoints write.
 
-Several writers share these keys, so a record that cannot be read is
-reported and skipped; it never hides the others.
+Each record is decoded by itself: several writers share a key prefix, so an
+unreadable record is returned as an error and must not hide the others.
 """
 
 from __future__ import annotations
@@ -26,21 +26,21 @@
 MS_IN_S = 1000
 
 
-class Record(BaseModel):
-    """Base of all records; fields of later versions are ignored."""
+class PlatformRecord(BaseModel):
+    """Base class of all records; ignores fields of later versions."""
 
     model_config = ConfigDict(extra='ignore')
 
 
-class BackendRow(Record):
-    """One share of a split route."""
+class BackendRecord(PlatformRecord):
+    """A service of a route and its weight in the traffic split."""
 
     service: str
     weight: float
 
 
-class RouteRow(Record):
-    """One route of the configuration."""
+class RouteRecord(PlatformRecord):
+    """A route of the configuration."""
 
     name: str
     host: str
@@ -53,18 +53,18 @@
     resumable: bool = False
     gap_target_ms: float = Field(default=0, alias='gap-target-ms')
     service: str = ''
-    backends: list[BackendRow] = []
+    backends: list[BackendRecord] = []
     completion_target_ms: float = Field(
         default=0,
         alias='completion-target-ms',
     )
     max_wait_s: float = Field(default=0, alias='max-wait-s')
-    # Tokens that may wait on the route.
+    # Limit on the tokens of unfinished items; 0 means no limit.
     cap: int = 0
 
 
-class ServiceRow(Record):
-    """One service of the configuration."""
+class ServiceRecord(PlatformRecord):
+    """A service of the configuration."""
 
     name: str
     health_path: str = Field(default='/health', alias='health-path')
@@ -72,8 +72,8 @@
     engine: dict[str, object] | None = None
 
 
-class LimitsRow(Record):
-    """Bounds on callers."""
+class LimitsRecord(PlatformRecord):
+    """Size and time limits on callers' requests."""
 
     max_header_bytes: int = Field(default=16_384, alias='max-header-bytes')
     max_body_bytes: int = Field(default=4_194_304, alias='max-body-bytes')
@@ -81,17 +81,17 @@
     idle_timeout_ms: float = Field(default=15_000, alias='idle-timeout-ms')
 
 
-class ConfigRecord(Record):
-    """The whole configuration."""
+class ConfigRecord(PlatformRecord):
+    """The operator's configuration."""
 
     version: int
-    routes: list[RouteRow]
-    services: list[ServiceRow]
-    limits: LimitsRow = LimitsRow()
+    routes: list[RouteRecord]
+    services: list[ServiceRecord]
+    limits: LimitsRecord = LimitsRecord()
 
 
-class EndpointRecord(Record):
-    """What an endpoint writes about itself."""
+class EndpointRecord(PlatformRecord):
+    """The registration that an endpoint writes for itself."""
 
     model_config = ConfigDict(extra='ignore', strict=True)
 
@@ -104,7 +104,7 @@
 
 
 def decode_configuration(raw: bytes) -> Result[Configuration, str]:
-    """Decode the operator's configuration."""
+    """Decode the operator's configuration; fail with the reason."""
     try:
         record = ConfigRecord.model_validate(orjson.loads(raw))
     except (ValidationError, ValueError) as exc:
@@ -113,8 +113,10 @@
     return Ok(
         Configuration(
             version=record.version,
-            routes=tuple(decode_route(row) for row in record.routes),
-            services={row.name: decode_service(row) for row in record.services},
+            routes=tuple(to_route(route) for route in record.routes),
+            services={
+                service.name: to_service(service) for service in record.services
+            },
             limits=CallerLimits(
                 max_header_bytes=limits.max_header_bytes,
                 max_body_bytes=limits.max_body_bytes,
@@ -125,48 +127,51 @@
     )
 
 
-def decode_route(row: RouteRow) -> Route:
-    """Translate one route."""
-    shares = [WeightedService(one.service, one.weight) for one in row.backends]
+def to_route(record: RouteRecord) -> Route:
+    """Convert a route record, with times in seconds."""
+    shares = [
+        WeightedService(backend.service, backend.weight)
+        for backend in record.backends
+    ]
     return Route(
-        name=row.name,
-        host=row.host.lower(),
-        prefix=row.prefix,
-        kind=row.kind,
-        timeout_s=row.timeout_ms / MS_IN_S,
-        target_s=row.goal_ms / MS_IN_S,
-        priority=row.priority,
-        max_attempts=max(1, row.max_attempts),
-        resumable=row.resumable,
-        max_gap_s=row.gap_target_ms / MS_IN_S,
-        services=tuple(shares) or (WeightedService(row.service, 1),),
-        batch=decode_batch(row),
+        name=record.name,
+        host=record.host.lower(),
+        prefix=record.prefix,
+        kind=record.kind,
+        timeout_s=record.timeout_ms / MS_IN_S,
+        target_s=record.goal_ms / MS_IN_S,
+        priority=record.priority,
+        max_attempts=max(1, record.max_attempts),
+        resumable=record.resumable,
+        max_gap_s=record.gap_target_ms / MS_IN_S,
+        services=tuple(shares) or (WeightedService(record.service, 1),),
+        batch=to_batch_options(record),
     )
 
 
-def decode_batch(row: RouteRow) -> BatchRouteOptions | None:
-    """Translate the fields of a batch route."""
-    if row.kind != 'batch':
+def to_batch_options(record: RouteRecord) -> BatchRouteOptions | None:
+    """Return the options of a batch route, or None for other kinds."""
+    if record.kind != 'batch':
         return None
     return BatchRouteOptions(
-        completion_target_s=row.completion_target_ms / MS_IN_S,
-        max_wait_s=row.max_wait_s,
-        max_waiting_tokens=row.cap,
+        completion_target_s=record.completion_target_ms / MS_IN_S,
+        max_wait_s=record.max_wait_s,
+        max_waiting_tokens=record.cap,
     )
 
 
-def decode_service(row: ServiceRow) -> Service:
-    """Translate one service."""
+def to_service(record: ServiceRecord) -> Service:
+    """Convert a service record."""
     return Service(
-        name=row.name,
-        health_path=row.health_path,
-        max_connections=row.max_conns,
-        is_engine=row.engine is not None,
+        name=record.name,
+        health_path=record.health_path,
+        max_connections=record.max_conns,
+        is_engine=record.engine is not None,
     )
 
 
 def decode_endpoint(key: str, raw: bytes) -> Result[Endpoint, str]:
-    """Decode the entry of one endpoint."""
+    """Decode the registration of an endpoint; fail with the reason."""
     try:
         record = EndpointRecord.model_validate(orjson.loads(raw))
         host, _, port = record.address.rpartition(':')
--- a/src/quetzaldyke/platform/retire.py
+++ b/src/quetzaldyke/platform/retire.py
@@ -1,7 +1,7 @@
-"""What the platform expects to read about an instance that is emptied."""
+"""Status record that the platform reads about an emptied instance."""
 
 from __future__ import annotations
 
 from typing import Final
 
-EMPTIED: Final = b'{"state":"completed"}'
+EMPTIED_STATUS: Final = b'{"state":"completed"}'
--- a/src/quetzaldyke/platform/settings.py
+++ b/src/quetzaldyke/platform/settings.py
@@ -1,4 +1,4 @@
-"""Reads the settings file that the platform lays for each process."""
+"""Reads and validates the settings file that the platform provides."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class BoundsTable(BaseModel):
-    """Table `bounds`."""
+    """Table `bounds`: time limits of the installation."""
 
     model_config = ConfigDict(extra='ignore')
 
@@ -28,7 +28,7 @@
 
 
 class ProviderTable(BaseModel):
-    """Table `provider`: the platform's store."""
+    """Table `provider`: the address of the platform's store."""
 
     model_config = ConfigDict(extra='ignore')
 
@@ -36,7 +36,7 @@
 
 
 class ListenTable(BaseModel):
-    """Table `listen`; a role has only the addresses that it serves."""
+    """Table `listen`; addresses that a role does not serve are empty."""
 
     model_config = ConfigDict(extra='ignore')
 
@@ -45,7 +45,7 @@
 
 
 class SettingsFile(BaseModel):
-    """The file as the platform writes it; unknown fields are ignored."""
+    """The settings file in the platform's terms; ignores unknown fields."""
 
     model_config = ConfigDict(extra='ignore')
 
@@ -61,12 +61,12 @@
 
 
 def settings_path() -> str:
-    """Return where this process finds its settings."""
+    """Return the path of the settings file; empty if it is not set."""
     return os.environ.get(SETTINGS_VARIABLE, '')
 
 
 def load_installation(path: str) -> Result[Installation, Errors]:
-    """Read a settings file, or return every finding with its field."""
+    """Read a settings file, or return all errors with their fields."""
     errors = Errors()
     try:
         document = tomllib.loads(Path(path).read_text(encoding='utf-8'))
@@ -74,17 +74,19 @@
         errors.add(path or SETTINGS_VARIABLE, f'cannot be read: {exc}')
         return Err(errors)
     try:
-        return Ok(decode(SettingsFile.model_validate(document)))
+        return Ok(to_installation(SettingsFile.model_validate(document)))
     except ValidationError as exc:
-        for one in exc.errors(include_url=False):
-            place = '.'.join(str(part) for part in one['loc'])
-            given = '' if one['type'] == 'missing' else f': {one["input"]!r}'
-            errors.add(place, f'{one["msg"]}{given}')
+        for error in exc.errors(include_url=False):
+            field_path = '.'.join(str(part) for part in error['loc'])
+            received = (
+                '' if error['type'] == 'missing' else f': {error["input"]!r}'
+            )
+            errors.add(field_path, f'{error["msg"]}{received}')
         return Err(errors)
 
 
-def decode(settings: SettingsFile) -> Installation:
-    """Translate the platform's names."""
+def to_installation(settings: SettingsFile) -> Installation:
+    """Convert settings from the platform's names and units."""
     bounds = settings.bounds
     return Installation(
         instance=settings.node,
--- a/src/quetzaldyke/platform/store.py
+++ b/src/quetzaldyke/platform/store.py
@@ -1,8 +1,8 @@
-"""Client of the platform's store: one method for each call.
+"""HTTP client of the platform's store, with one method for each call.
 
-A call that gets no answer counts as `unknown`, because the store may still
-apply it seconds later; an answer that refuses the call counts as
-`unavailable`, because nothing was done.
+A call without a response fails as `unknown`, because the store may still
+apply it seconds later. A call that the store rejects fails as `unavailable`,
+because it was certainly not applied.
 """
 
 from __future__ import annotations
@@ -41,23 +41,24 @@
 from quetzaldyke.platform.names import CONFIG_KEY
 
 MS_IN_S: Final = 1000
-# The store answers in milliseconds; this bears answers sixty times as slow.
+# The store answers in milliseconds; answers sixty times as slow still arrive
+# in time.
 CALL_TIMEOUT_S: Final = 0.9
-# How much later than asked a waiting watch may answer.
+# Time that a watch may take beyond the wait that it asked for.
 WATCH_SLACK_S: Final = 0.6
-CALLS_PATH: Final = '/quetzaldyke/'
+BASE_PATH: Final = '/quetzaldyke/'
 STATUS_OK: Final = 200
 STATUS_NOT_FOUND: Final = 404
 STATUS_GONE: Final = 410
 STATUS_CONDITION_FAILED: Final = 412
 STATUS_TOO_LARGE: Final = 413
 LOGGED_BODY_BYTES: Final = 200
-REFUSALS: Final = frozenset((429, 503))
+REJECTED_STATUSES: Final = frozenset((429, 503))
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """Status and decoded body of a call."""
+class StoreResponse:
+    """Status and decoded JSON body of a response."""
 
     status: int
     body: Any
@@ -65,15 +66,15 @@
 
 @dataclass(slots=True)
 class PlatformStore:
-    """Calls to the store at one address."""
+    """Client of one store, which is reached directly or through a peer."""
 
     client: HttpClient
-    # The way that calls take.
+    # Selects the address that calls are sent to.
     path: StorePath
-    # Told after each call its name and whether the store answered it.
+    # Called after each call with its name and whether the store answered.
     on_result: Callable[[str, bool], None]
-    # Exchanges that wait on each way.
-    waiting: dict[Address, set[Exchange]] = field(default_factory=dict)
+    # Exchanges without a complete response, by the address they were sent to.
+    open_exchanges: dict[Address, set[Exchange]] = field(default_factory=dict)
 
     @classmethod
     def from_address(
@@ -82,22 +83,25 @@
         client: HttpClient,
         on_result: Callable[[str, bool], None],
     ) -> PlatformStore:
-        """Return a client whose calls start on the direct way."""
+        """Return a client that first calls the store directly.
+
+        Raises `ValueError` if the address has no valid port.
+        """
         host, _, port = address.rpartition(':')
         store = cls(client, StorePath((host, int(port))), on_result)
-        store.path.on_change = store.leave_other_ways
+        store.path.on_change = store.cancel_other_paths
         return store
 
-    def leave_other_ways(self, address: Address) -> None:
-        """Cut the calls that wait on a way that is not used any more."""
-        for way, exchanges in self.waiting.items():
-            if way != address:
+    def cancel_other_paths(self, address: Address) -> None:
+        """Cancel the calls that were sent to any other address."""
+        for path_address, exchanges in self.open_exchanges.items():
+            if path_address != address:
                 for exchange in list(exchanges):
                     exchange.cancel()
         log_event('store_way_changed', address=f'{address[0]}:{address[1]}')
 
     async def probe_direct(self) -> None:
-        """Try the direct way while it counts as broken."""
+        """Send a probe on the direct path if it is down."""
         if self.path.direct.up:
             return
         query = urlencode({'key': CONFIG_KEY, 'serializable': 1})
@@ -111,21 +115,25 @@
         *,
         stale: bool = False,
     ) -> Result[Record | None, KvError]:
-        """Read one key."""
+        """Read one key; return None if it does not exist.
+
+        A stale read is cheap, and its value may be seconds old.
+        """
         query: dict[str, str | int] = {'key': key}
         if stale:
             query['serializable'] = 1
-        answer = await self.call('GET', f'kv-key?{urlencode(query)}')
-        if isinstance(answer, Err):
-            return answer
-        if answer.ok_value.status == STATUS_NOT_FOUND:
+        response = await self.call('GET', f'kv-key?{urlencode(query)}')
+        if isinstance(response, Err):
+            return response
+        if response.ok_value.status == STATUS_NOT_FOUND:
             return Ok(None)
-        return Ok(decode_record(answer.ok_value.body))
+        return Ok(decode_record(response.ok_value.body))
 
     async def list_prefix(self, prefix: str) -> Result[Snapshot, KvError]:
-        """Read all pages of a prefix.
+        """Read all keys that start with a prefix, page by page.
 
-        Pages are not one snapshot, so a watch continues from the first.
+        The pages are read at different revisions. The result has the
+        revision of the first, so that a watch from it misses no change.
         """
         records: list[Record] = []
         revision = 0
@@ -134,10 +142,10 @@
             query = {'prefix': prefix}
             if after:
                 query['after'] = after
-            answer = await self.call('GET', f'kv-range?{urlencode(query)}')
-            if isinstance(answer, Err):
-                return answer
-            body = answer.ok_value.body
+            response = await self.call('GET', f'kv-range?{urlencode(query)}')
+            if isinstance(response, Err):
+                return response
+            body = response.ok_value.body
             records.extend(decode_record(row) for row in body['items'])
             revision = revision or body['store-revision']
             if not body['has-more'] or not body['items']:
@@ -150,7 +158,11 @@
         after_revision: int,
         wait_s: float,
     ) -> Result[WatchBatch, KvError]:
-        """Wait for changes after a revision."""
+        """Return the changes after a revision, or wait for some.
+
+        Returns no changes if there are none within `wait_s`, and fails with
+        `compacted` if the store no longer has the history.
+        """
         query = urlencode(
             {
                 'prefix': prefix,
@@ -158,16 +170,16 @@
                 'wait-ms': int(wait_s * MS_IN_S),
             },
         )
-        answer = await self.call(
+        response = await self.call(
             'GET',
             f'kv-watch?{query}',
             timeout_s=wait_s + WATCH_SLACK_S,
         )
-        if isinstance(answer, Err):
-            return answer
-        if answer.ok_value.status == STATUS_GONE:
+        if isinstance(response, Err):
+            return response
+        if response.ok_value.status == STATUS_GONE:
             return Err(KvError('compacted', prefix))
-        body = answer.ok_value.body
+        body = response.ok_value.body
         changes = [decode_change(row) for row in body['events']]
         return Ok(WatchBatch(changes, body['store-revision']))
 
@@ -175,7 +187,11 @@
         self,
         transaction: Transaction,
     ) -> Result[int, KvError]:
-        """Apply a transaction."""
+        """Apply a transaction and return its revision.
+
+        Fails with `conflict` if a condition does not hold, and with
+        `no_lease` if a lease does not exist.
+        """
         body = {
             'if-rev': [
                 {'key': key, 'revision': revision}
@@ -191,38 +207,38 @@
             ],
             'deletes': list(transaction.deletes),
         }
-        answer = await self.call('POST', 'kv-txn', body)
-        if isinstance(answer, Err):
-            return answer
-        status = answer.ok_value.status
+        response = await self.call('POST', 'kv-txn', body)
+        if isinstance(response, Err):
+            return response
+        status = response.ok_value.status
         if status == STATUS_CONDITION_FAILED:
             return Err(KvError('conflict'))
         if status == STATUS_NOT_FOUND:
             return Err(KvError('no_lease'))
-        return Ok(int(answer.ok_value.body['revision']))
+        return Ok(int(response.ok_value.body['revision']))
 
     async def grant_lease(self, ttl_s: float) -> Result[Lease, KvError]:
-        """Create a lease."""
+        """Create a lease; the store chooses its id and final TTL."""
         body = {'ttl-ms': int(ttl_s * MS_IN_S)}
-        answer = await self.call('POST', 'kv-lease', body)
-        if isinstance(answer, Err):
-            return answer
-        granted = answer.ok_value.body
+        response = await self.call('POST', 'kv-lease', body)
+        if isinstance(response, Err):
+            return response
+        granted = response.ok_value.body
         return Ok(Lease(granted['lease'], granted['ttl-ms'] / MS_IN_S))
 
     async def renew_lease(self, lease_id: int) -> Result[None, KvError]:
-        """Extend a lease."""
-        answer = await self.call('POST', f'kv-keep/{lease_id}')
-        if isinstance(answer, Err):
-            return answer
-        if answer.ok_value.status == STATUS_NOT_FOUND:
+        """Extend a lease; fails with `no_lease` if it has lapsed."""
+        response = await self.call('POST', f'kv-keep/{lease_id}')
+        if isinstance(response, Err):
+            return response
+        if response.ok_value.status == STATUS_NOT_FOUND:
             return Err(KvError('no_lease'))
         return Ok(None)
 
     async def revoke_lease(self, lease_id: int) -> Result[None, KvError]:
-        """End a lease."""
-        answer = await self.call('DELETE', f'kv-lease-end/{lease_id}')
-        return answer if isinstance(answer, Err) else Ok(None)
+        """End a lease, which deletes its keys."""
+        response = await self.call('DELETE', f'kv-lease-end/{lease_id}')
+        return response if isinstance(response, Err) else Ok(None)
 
     async def call(
         self,
@@ -230,24 +246,27 @@
         path: str,
         body: object = None,
         timeout_s: float = CALL_TIMEOUT_S,
-    ) -> Result[Answer, KvError]:
-        """Make one call and tell whether the store answered."""
+    ) -> Result[StoreResponse, KvError]:
+        """Make one call and report whether the store answered it.
+
+        A call that the store rejects counts as not answered.
+        """
         request = self.encode(method, path, body)
         address = self.path.choose(time.monotonic())
-        outcome = await self.exchange(request, timeout_s, address)
-        if isinstance(outcome, Err):
+        result = await self.exchange(request, timeout_s, address)
+        if isinstance(result, Err):
             self.on_result(call_name(path), False)
-            return outcome
+            return result
         self.on_result(call_name(path), True)
-        head, raw = outcome.ok_value
-        return decode_answer(head, raw)
+        head, raw = result.ok_value
+        return decode_response(head, raw)
 
     def encode(self, method: str, path: str, body: object) -> bytes:
-        """Return the bytes of a call."""
+        """Return the HTTP request of a call."""
         host, port = self.path.store
         return encode_request(
             method.encode(),
-            f'{CALLS_PATH}{path}'.encode(),
+            f'{BASE_PATH}{path}'.encode(),
             [
                 (b'host', f'{host}:{port}'.encode()),
                 (b'content-type', b'application/json'),
@@ -261,16 +280,19 @@
         timeout_s: float,
         address: Address,
     ) -> Result[tuple[ResponseHead, bytes], KvError]:
-        """Send a call on one way and note whether it was answered."""
-        outcome = await self.send(request, timeout_s, address)
-        answered = isinstance(outcome, Ok)
+        """Send a call to one address and record whether it was answered.
+
+        A cancelled call says nothing about the path and is not recorded.
+        """
+        result = await self.send(request, timeout_s, address)
+        answered = isinstance(result, Ok)
         cancelled = (
-            isinstance(outcome, Err)
-            and outcome.err_value.detail == Failure.CANCELLED.value
+            isinstance(result, Err)
+            and result.err_value.detail == Failure.CANCELLED.value
         )
         if not cancelled:
             self.path.note(address, answered=answered, now_s=time.monotonic())
-        return outcome
+        return result
 
     async def send(
         self,
@@ -278,10 +300,14 @@
         timeout_s: float,
         address: Address,
     ) -> Result[tuple[ResponseHead, bytes], KvError]:
-        """Send bytes and return the whole answer unless it is a refusal."""
+        """Send a request and return the head and body of the response.
+
+        Fails with `unavailable` if the request was rejected or never sent,
+        and with `unknown` if the response is missing or incomplete.
+        """
         exchange = Exchange()
-        waiting = self.waiting.setdefault(address, set())
-        waiting.add(exchange)
+        exchanges = self.open_exchanges.setdefault(address, set())
+        exchanges.add(exchange)
         try:
             async with asyncio.timeout(timeout_s):
                 await self.client.start(*address, request, exchange)
@@ -294,9 +320,9 @@
         except TimeoutError:
             return Err(KvError('unknown', f'no answer in {timeout_s} s'))
         finally:
-            waiting.discard(exchange)
+            exchanges.discard(exchange)
             exchange.cancel()
-        if head.status in REFUSALS:
+        if head.status in REJECTED_STATUSES:
             return Err(KvError('unavailable', f'status {head.status}'))
         return Ok((head, raw))
 
@@ -310,8 +336,10 @@
     return path.partition('?')[0].partition('/')[0]
 
 
-def decode_answer(head: ResponseHead, raw: bytes) -> Result[Answer, KvError]:
-    """Decode the body of an answer."""
+def decode_response(
+    head: ResponseHead, raw: bytes
+) -> Result[StoreResponse, KvError]:
+    """Decode the body of a response; fail on an unexpected status."""
     if head.status == STATUS_TOO_LARGE:
         return Err(KvError('too_large', raw.decode('utf-8', 'replace')))
     expected = {
@@ -329,17 +357,17 @@
     try:
         body = orjson.loads(raw) if raw else None
     except ValueError as exc:
-        return Err(KvError('unknown', f'unreadable answer: {exc}'))
-    return Ok(Answer(head.status, body))
+        return Err(KvError('unknown', f'response is not valid JSON: {exc}'))
+    return Ok(StoreResponse(head.status, body))
 
 
 def decode_record(row: Any) -> Record:
-    """Translate one item."""
+    """Decode one stored item."""
     return Record(row['key'], base64.b64decode(row['value']), row['revision'])
 
 
 def decode_change(row: Any) -> WatchedChange:
-    """Translate one event of a watch."""
+    """Decode one event of a watch; a tombstone has the value None."""
     if row.get('tombstone'):
         return WatchedChange(row['key'], row['revision'], None)
     return WatchedChange(
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""Tests of the adapter: settings, records, and the store's client."""
+"""Tests of the platform adapter: settings, records and store client."""
 
 from __future__ import annotations
 
@@ -51,12 +51,12 @@
 
 @pytest.fixture
 def anyio_backend() -> str:
-    """Run on the backend that the processes use."""
+    """Run the tests on asyncio, as the processes do."""
     return 'asyncio'
 
 
-def test_settings_are_read(tmp_path: Path) -> None:
-    """Guards against settings that end the start over a new field."""
+def test_unknown_settings_are_ignored(tmp_path: Path) -> None:
+    """Guards against a failed start because the platform added a setting."""
     path = tmp_path / 'local.toml'
     path.write_text(SETTINGS)
     loaded = load_installation(str(path))
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize(
-    ('old', 'new', 'place'),
+    ('old', 'new', 'field_path'),
     [
         ('grace-s = 8', 'grace-s = "soon"', 'bounds.grace-s'),
         ('node = "front-1"', '', 'node'),
@@ -74,28 +74,28 @@
         ('[provider]', '[other]', 'provider'),
     ],
 )
-def test_wrong_settings_name_the_field(
+def test_settings_errors_name_the_field(
     tmp_path: Path,
     old: str,
     new: str,
-    place: str,
+    field_path: str,
 ) -> None:
-    """Guards against errors that do not say what to change."""
+    """Guards against errors that don't say which setting is wrong."""
     path = tmp_path / 'local.toml'
     path.write_text(SETTINGS.replace(old, new))
     loaded = load_installation(str(path))
     assert isinstance(loaded, Err)
-    assert place in loaded.err_value.render()
+    assert field_path in loaded.err_value.render()
 
 
-def test_missing_settings_name_the_file() -> None:
-    """Guards against a bare trace when the file is not there."""
+def test_missing_settings_error_names_the_file() -> None:
+    """Guards against a traceback when the file does not exist."""
     loaded = load_installation('/nowhere/local.toml')
     assert isinstance(loaded, Err)
     assert '/nowhere/local.toml' in loaded.err_value.render()
 
 
-ENTRY = {
+REGISTRATION = {
     'service': 'lm',
     'address': '127.0.0.1:80',
     'zone': 'a',
@@ -114,20 +114,20 @@
         {'service': None},
     ],
 )
-def test_entry_of_another_writer_names_no_endpoint(
+def test_unreadable_registration_yields_no_endpoint(
     change: dict[str, object],
 ) -> None:
-    """Guards against requests sent by an entry that can't be read."""
-    raw = orjson.dumps({**ENTRY, **change})
+    """Guards against using an endpoint whose registration is unreadable."""
+    raw = orjson.dumps({**REGISTRATION, **change})
     assert isinstance(decode_endpoint('servers/x', raw), Err)
     assert isinstance(decode_endpoint('servers/x', b'\xff'), Err)
-    decoded = decode_endpoint('servers/x', orjson.dumps(ENTRY))
+    decoded = decode_endpoint('servers/x', orjson.dumps(REGISTRATION))
     assert isinstance(decoded, Ok)
     assert decoded.ok_value.endpoint_id == 'x'
 
 
 def test_configuration_is_decoded() -> None:
-    """Guards against fields that are read under the wrong meaning."""
+    """Guards against fields decoded under the wrong name or unit."""
     record = {
         'version': 7,
         'routes': [
@@ -162,12 +162,12 @@
 
 
 def test_unreadable_configuration_is_reported() -> None:
-    """Guards against a broken record that ends the process."""
+    """Guards against an unreadable record that ends the process."""
     assert isinstance(decode_configuration(b'{"version": "x"}'), Err)
 
 
-def test_jobs_on_the_wire() -> None:
-    """Guards against items that lose their body or their tokens."""
+def test_jobs_are_decoded_and_results_encoded() -> None:
+    """Guards against items that lose their body or token count."""
     raw = orjson.dumps(
         {'items': [{'id': 'i', 'path': '/p/x', 'body': 'aGk=', 'tokens': 9}]},
     )
@@ -184,7 +184,7 @@
 async def store_and_client() -> AsyncIterator[
     tuple[PlatformStoreStandin, PlatformStore]
 ]:
-    """Run a store and yield a client of it."""
+    """Run a store stand-in and yield it with a client of it."""
     async with anyio.create_task_group() as group:
         standin = await group.start(run_platform_store, PlatformStoreOptions())
         client = HttpClient()
@@ -199,7 +199,7 @@
 
 
 async def test_transactions_are_conditional() -> None:
-    """Guards against writes that overwrite what another has written."""
+    """Guards against overwriting the write of another client."""
     async with store_and_client() as (_, store):
         first = Transaction({'k': 0}, (Put('k', b'\x00one'),))
         assert isinstance(await store.transact(first), Ok)
@@ -213,8 +213,8 @@
         assert await store.get('other') == Ok(None)
 
 
-async def test_lost_answer_is_unknown_and_refusal_is_not() -> None:
-    """Guards against a refusal claimed for a write that was applied."""
+async def test_lost_response_is_unknown_and_rejection_is_unavailable() -> None:
+    """Guards against reporting an applied write as certainly not applied."""
     async with store_and_client() as (standin, store):
         standin.faults.lose_answers = 1
         lost = await store.transact(Transaction({}, (Put('k', b'1'),)))
@@ -227,8 +227,8 @@
         assert refused.err_value.kind == 'unavailable'
 
 
-async def test_watch_tells_changes_in_order() -> None:
-    """Guards against changes that a watch leaves out."""
+async def test_watch_returns_changes_in_order() -> None:
+    """Guards against a watch that skips changes or returns other keys."""
     async with store_and_client() as (standin, store):
         standin.state.put('p/a', b'1', 0)
         standin.state.put('q/a', b'2', 0)
@@ -241,8 +241,8 @@
         assert not quiet.ok_value.changes
 
 
-async def test_lost_history_is_told() -> None:
-    """Guards against a watch that goes on over changes it never saw."""
+async def test_watch_of_compacted_history_fails() -> None:
+    """Guards against a watch that silently skips compacted changes."""
     async with store_and_client() as (standin, store):
         standin.state.put('p/a', b'1', 0)
         standin.state.forget_history()
@@ -251,8 +251,8 @@
         assert batch.err_value.kind == 'compacted'
 
 
-async def test_lease_ends_with_its_keys() -> None:
-    """Guards against members that stay after their lease."""
+async def test_revoking_a_lease_deletes_its_keys() -> None:
+    """Guards against member records that outlive their lease."""
     async with store_and_client() as (standin, store):
         granted = await store.grant_lease(1.0)
         assert isinstance(granted, Ok)
@@ -267,8 +267,8 @@
         assert renewed.err_value.kind == 'no_lease'
 
 
-async def test_calls_go_through_a_peer() -> None:
-    """Guards against an entry that the store alone turns away."""
+async def test_calls_go_through_a_peer_when_the_store_is_unreachable() -> None:
+    """Guards against an entry cut off when only it can't reach the store."""
     async with store_and_client() as (standin, store):
         host, _, port = standin.address.rpartition(':')
         now_s = time.monotonic()
@@ -281,8 +281,8 @@
         assert await store.get('k') == Ok(None)
 
 
-def test_peer_without_a_store_carries_nothing() -> None:
-    """Guards against calls that go round between entries without a store."""
+def test_peer_without_a_store_connection_is_not_used() -> None:
+    """Guards against sending calls to a peer that can't reach the store."""
     path = StorePath(('s', 1))
     path.note_peer('p', ('p', 2), store_up_s=0.0, now_s=1.0)
     for _ in range(3):
@@ -290,8 +290,8 @@
     assert path.choose(1.0) == ('s', 1)
 
 
-def test_failing_peer_is_left_for_another() -> None:
-    """Guards against calls that stay with a peer that can't carry them."""
+def test_failing_peer_is_replaced_by_another() -> None:
+    """Guards against calls that keep failing at the same peer."""
     path = StorePath(('s', 1))
     path.note_peer('p', ('p', 2), store_up_s=9.0, now_s=1.0)
     path.note_peer('q', ('q', 3), store_up_s=9.0, now_s=1.0)
