--- a/src/quetzaldyke/gateway/__init__.py
+++ b/src/quetzaldyke/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The processes of a platform installation: entry and keeper."""
+"""The processes of a platform installation: entries and keepers."""
--- a/src/quetzaldyke/gateway/__main__.py
+++ b/src/quetzaldyke/gateway/__main__.py
@@ -5,8 +5,8 @@
        python -m quetzaldyke.gateway check-settings
 
 CALLERS_ADDRESS (HOST:PORT) is where callers connect. All other settings come
-from the file that the platform lays for each process.
-Exit status: 0 after a planned stop, 2 for wrong arguments or settings.
+from the file that the platform provides for each process.
+Exit status: 0 after a graceful shutdown, 2 for invalid arguments or settings.
 """
 
 from __future__ import annotations
@@ -19,40 +19,40 @@
 
 from quetzaldyke.connection.listener import listen
 
-USAGE_STATUS: Final = 2
+USAGE_ERROR_STATUS: Final = 2
 
 
 def main() -> None:
-    """Run the program that the arguments name.
+    """Run the program that the arguments select.
 
-    An entry listens before its modules are imported: their import takes a
-    few hundred milliseconds on a small machine.
+    An entry listens before its modules are imported, because the import
+    takes a few hundred milliseconds on a small machine.
     """
     match sys.argv[1:]:
         case ['entry', address, port] if port.isdecimal():
-            callers = listen_or_exit(address)
-            load_programs().run_entry_program(callers, int(port))
+            listener = listen_or_exit(address)
+            load_programs().run_entry_program(listener, int(port))
         case ['keeper']:
             load_programs().run_keeper_program()
         case ['check-settings']:
             sys.stdout.write(f'{load_programs().read_installation()}\n')
         case _:
             sys.stderr.write(f'{__doc__}\n')
-            sys.exit(USAGE_STATUS)
+            sys.exit(USAGE_ERROR_STATUS)
 
 
 def load_programs() -> ModuleType:
-    """Import everything that is large."""
+    """Import the modules that take long to load."""
     return importlib.import_module('quetzaldyke.gateway.programs')
 
 
 def listen_or_exit(address: str) -> socket.socket:
-    """Return the callers' listener, or end with what is wrong."""
+    """Return a listening socket; print the error and exit on failure."""
     try:
         return listen(address)
     except (OSError, ValueError, OverflowError) as exc:
         sys.stderr.write(f'CALLERS_ADDRESS {address}: {exc}\n')
-        sys.exit(USAGE_STATUS)
+        sys.exit(USAGE_ERROR_STATUS)
 
 
 if __name__ == '__main__':
--- a/src/quetzaldyke/gateway/entry.py
+++ b/src/quetzaldyke/gateway/entry.py
@@ -1,4 +1,4 @@
-"""The entry process: takes callers' requests and runs batch jobs."""
+"""Connects the components that serve online requests and run batch jobs."""
 
 from __future__ import annotations
 
@@ -49,24 +49,25 @@
 
 OWNER_ID_BYTES: Final = 6
 WATCHDOG_INTERVAL_S: Final = 0.05
-LINE_INTERVAL_S: Final = 0.05
+QUEUE_INTERVAL_S: Final = 0.05
 BATCH_INTERVAL_S: Final = 0.1
 OWNERSHIP_INTERVAL_S: Final = 0.5
-FORGET_INTERVAL_S: Final = 10.0
-CLEANING_INTERVAL_S: Final = 1.0
+EXPIRY_INTERVAL_S: Final = 10.0
+CLEANUP_INTERVAL_S: Final = 1.0
 GOSSIP_INTERVAL_S: Final = 0.1
-# Members that don't report by then after this entry's start are not there.
+# Members that have not reported this long after the start are not waited for.
 JOIN_WAIT_S: Final = 2.0
-# Time for which changes of jobs and members are gathered, for each entry.
-FLEET_PAUSE_S: Final = 0.03
-MAX_FLEET_PAUSE_S: Final = 0.65
-# Reports that may pass until an entry knows of all others' choices.
-NEWS_INTERVALS: Final = 1.6
+# Delay between two polls of jobs and members, in which changes accumulate, for
+# each entry of the fleet.
+ENTRY_POLL_DELAY_S: Final = 0.03
+MAX_POLL_DELAY_S: Final = 0.65
+# Report intervals until the allocations of all peers are known here.
+REPORT_AGE_INTERVALS: Final = 1.6
 
 
 @dataclass(slots=True)
 class Entry:
-    """Everything that lives as long as one entry."""
+    """The components of one entry, and the callbacks between them."""
 
     installation: Installation
     member: Member
@@ -89,13 +90,13 @@
     policy: BatchPolicy
     configurations: ConfigurationFeed
     endpoints: EndpointFeed
-    # Listener of the callers, once it accepts them.
-    callers: HttpServer | None = None
+    # None until callers are accepted.
+    caller_server: HttpServer | None = None
     runner: BatchRunner | None = None
     owner: JobOwner | None = None
     started_s: float = 0.0
-    # Set once the configuration and the endpoints are known.
-    informed: anyio.Event = field(default_factory=anyio.Event)
+    # Set once the configuration and the endpoints were loaded.
+    synced: anyio.Event = field(default_factory=anyio.Event)
     stopping: anyio.Event = field(default_factory=anyio.Event)
 
     @classmethod
@@ -104,7 +105,7 @@
         installation: Installation,
         writer: LineWriter,
     ) -> Entry:
-        """Build an entry that does not run yet."""
+        """Build an entry without starting any of its tasks."""
         clock = Clock()
         generator = random.Random()
         owner_id = secrets.token_hex(OWNER_ID_BYTES)
@@ -119,7 +120,7 @@
         store = PlatformStore.from_address(
             installation.store_address,
             client,
-            lambda call, answered: entry.note_call(call, answered=answered),
+            lambda call, answered: entry.record_call(call, answered=answered),
         )
         endpoint_table = EndpointTable()
         loads = LoadTable()
@@ -202,11 +203,11 @@
             ),
             started_s=clock.now(),
         )
-        entry.connect()
+        entry.register_callbacks()
         return entry
 
-    def connect(self) -> None:
-        """Let the parts tell each other of changes."""
+    def register_callbacks(self) -> None:
+        """Register the callbacks between components and the timers."""
         self.dispatcher.on_change = self.on_load_change
         self.dispatcher.preempt_batch = self.preempt_batch
         self.dispatcher.count_entries = self.count_entries
@@ -215,20 +216,20 @@
         self.jobs.on_members = self.on_members
         timers = self.timers
         timers.on_failure = on_timer_failure
-        timers.subscribe('watchdog', WATCHDOG_INTERVAL_S, self.watch_exchanges)
-        timers.subscribe('lines', LINE_INTERVAL_S, self.dispatcher.tick)
+        timers.subscribe('watchdog', WATCHDOG_INTERVAL_S, self.cancel_timed_out)
+        timers.subscribe('lines', QUEUE_INTERVAL_S, self.dispatcher.tick)
         timers.subscribe('gossip', GOSSIP_INTERVAL_S, self.gossip_tick)
         timers.subscribe('lease', RENEWAL_INTERVAL_S, self.registration.renew)
-        timers.subscribe('cleaning', CLEANING_INTERVAL_S, self.clean)
+        timers.subscribe('cleaning', CLEANUP_INTERVAL_S, self.clean_up)
 
-    def note_call(self, call: str, *, answered: bool) -> None:
-        """Count a call to the store and what it says of the store."""
+    def record_call(self, call: str, *, answered: bool) -> None:
+        """Count a call to the store and update the store's health."""
         outcome = 'answered' if answered else 'failed'
         self.metrics.count('store_calls_total', call=call, outcome=outcome)
         self.health.note(answered=answered, now_s=self.clock.now())
 
     def unready_reason(self) -> str:
-        """Return why the balancer should send no caller here, or nothing."""
+        """Return why this entry is not ready; empty if it is ready."""
         if self.stopping.is_set():
             return 'stopping'
         if self.configurations.configuration is None:
@@ -238,52 +239,51 @@
         return ''
 
     def on_configuration(self, configuration: Configuration) -> None:
-        """Serve by a configuration from now on."""
+        """Apply a configuration."""
         self.ingress.configure(configuration)
-        self.note_news()
+        self.update_synced()
 
     def on_endpoints(self) -> None:
-        """The list of endpoints changed."""
+        """Serve queued requests after a change of the endpoint list."""
         self.dispatcher.serve_queues()
-        self.note_news()
+        self.update_synced()
 
-    def note_news(self) -> None:
-        """Tell whoever waits for the first news of the store."""
+    def update_synced(self) -> None:
+        """Set `synced` if configuration and endpoints were loaded."""
         if not self.unready_reason():
-            self.informed.set()
+            self.synced.set()
 
     def count_entries(self) -> int:
-        """Return how many entries share the endpoints."""
+        """Return how many entries share the endpoints, at least 1."""
         return max(1, len(self.jobs.members))
 
-    def fleet_pause_s(self) -> float:
-        """Return how long changes of the fleet are gathered.
+    def poll_delay_s(self) -> float:
+        """Return the delay between two polls of jobs and members.
 
-        Each of them is told to every entry, so the calls for them would
-        otherwise grow with the square of the fleet.
+        Every entry watches the changes of all entries, so without it the
+        number of calls would grow with the square of the fleet size.
         """
-        return min(MAX_FLEET_PAUSE_S, FLEET_PAUSE_S * self.count_entries())
+        return min(MAX_POLL_DELAY_S, ENTRY_POLL_DELAY_S * self.count_entries())
 
     def on_load_change(self, endpoint_id: str) -> None:
-        """Own counts changed: tell peers, and look for room."""
+        """Schedule a report to peers and a scheduling pass."""
         self.gossip.note_change()
         if self.runner is not None:
             self.runner.schedule_soon()
 
     def preempt_batch(self, endpoint: Endpoint) -> None:
-        """Have one batch run leave an endpoint for an online request."""
+        """Preempt an own batch run on an endpoint, or ask a peer to do so."""
         endpoint_id = endpoint.endpoint_id
         if self.runner is not None and self.runner.preempt_run(endpoint_id):
             return
         peers = self.loads.batch_peers(endpoint_id)
         if peers:
             self.gossip.send(
-                peers[0][1],
-                PreemptBatch(self.member.owner_id, endpoint_id),
+                peers[0][1], PreemptBatch(self.member.owner_id, endpoint_id)
             )
 
     def on_gossip(self, message: GossipMessage) -> None:
-        """Take over what a peer says."""
+        """Apply a message of a peer."""
         match message:
             case LoadReport(sender, counts, waiting, pending, store_up_s):
                 now_s = self.clock.now()
@@ -291,10 +291,7 @@
                 address = self.gossip.peers.get(sender)
                 if address is not None:
                     self.store.path.note_peer(
-                        sender,
-                        address,
-                        store_up_s=store_up_s,
-                        now_s=now_s,
+                        sender, address, store_up_s=store_up_s, now_s=now_s
                     )
                 if self.runner is not None:
                     self.runner.schedule_soon()
@@ -307,12 +304,12 @@
                 self.ingress.context.crashes.merge(crashes, cleared)
 
     def on_store_lost(self) -> None:
-        """The store stopped answering."""
+        """Start an outage: the store no longer answers."""
         self.endpoint_table.outage_began()
         log_event('dependency_lost', dependency='store')
 
     def on_store_regained(self) -> None:
-        """The store answers again."""
+        """End an outage: the store answers again."""
         now_s = self.clock.now()
         local = self.store.path.any_peer_up_since(self.health.down_at_s, now_s)
         if local:
@@ -322,17 +319,17 @@
         log_event('dependency_regained', dependency='store', local=local)
 
     def on_members(self) -> None:
-        """Gossip with the members of the moment."""
+        """Use the current members as gossip peers unless the store is down."""
         if not self.health.up:
             return
         self.gossip.peers = {
-            one.owner_id: (one.host, one.port)
-            for one in self.jobs.members.values()
-            if one.owner_id != self.member.owner_id
+            member.owner_id: (member.host, member.port)
+            for member in self.jobs.members.values()
+            if member.owner_id != self.member.owner_id
         }
 
-    def run_batch(self, runner: BatchRunner) -> None:
-        """Run jobs from now on."""
+    def attach_runner(self, runner: BatchRunner) -> None:
+        """Start scheduling batch jobs on a runner."""
         self.runner = runner
         self.owner = JobOwner(
             runner,
@@ -348,22 +345,22 @@
         timers = self.timers
         timers.subscribe('batch', BATCH_INTERVAL_S, self.batch_tick)
         timers.subscribe('owners', OWNERSHIP_INTERVAL_S, self.owner.reconcile)
-        timers.subscribe('jobs', FORGET_INTERVAL_S, self.owner.delete_expired)
+        timers.subscribe('jobs', EXPIRY_INTERVAL_S, self.owner.delete_expired)
 
-    async def watch_exchanges(self) -> None:
-        """End the exchanges whose peer has been silent for too long."""
+    async def cancel_timed_out(self) -> None:
+        """Cancel the exchanges that have timed out."""
         self.client.cancel_timed_out(self.clock.now())
 
     async def batch_tick(self) -> None:
-        """Start items and list results."""
+        """Run the batch runner's periodic work."""
         if self.runner is not None:
-            self.runner.peers_known = self.knows_peers()
+            self.runner.peers_known = self.peers_known()
             await self.runner.tick()
 
-    def knows_peers(self) -> bool:
-        """Tell whether every other member has reported since the start.
+    def peers_known(self) -> bool:
+        """Return whether every other member has reported since the start.
 
-        Until then the slots that others use are not known.
+        Until then the slots that the peers use are not known.
         """
         if self.runner is not None and self.runner.peers_known:
             return True
@@ -375,14 +372,14 @@
         )
 
     async def gossip_tick(self) -> None:
-        """Report to peers, and forget the silent ones."""
+        """Send a heartbeat if it is due, and remove silent peers."""
         await self.gossip.heartbeat()
         silent = self.loads.remove_silent_peers(self.clock.now())
         if silent:
             log_event('peers_silent', peers=','.join(silent))
 
-    async def clean(self) -> None:
-        """Forget what is over."""
+    async def clean_up(self) -> None:
+        """Remove expired state and time out idle callers."""
         self.client.close_expired()
         self.ingress.context.crashes.forget_old()
         self.store.path.remove_silent_peers(self.clock.now())
@@ -390,11 +387,11 @@
         gone = self.endpoint_table.drop_lapsed(self.clock.now())
         if gone:
             log_event('endpoints_gone', endpoints=','.join(gone))
-        if self.callers is not None:
-            self.ingress.time_out_callers(self.callers)
+        if self.caller_server is not None:
+            self.ingress.time_out_callers(self.caller_server)
         await self.writer.report_dropped()
 
 
 def on_timer_failure(name: str, exc: Exception) -> None:
-    """Log a periodic job that failed; it runs again."""
+    """Log the failure of a timer's callback, which stays subscribed."""
     log_event('timer_failed', timer=name, fault=repr(exc))
--- a/src/quetzaldyke/gateway/entry_process.py
+++ b/src/quetzaldyke/gateway/entry_process.py
@@ -1,4 +1,4 @@
-"""Runs an entry: starts its parts, follows the store, stops as planned."""
+"""Runs an entry from its start to its graceful shutdown."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from quetzaldyke.connection.http_server import HttpOptions, serve_http
 from quetzaldyke.gateway.batch_runner import BatchRunner
 from quetzaldyke.gateway.entry import (
-    NEWS_INTERVALS,
+    REPORT_AGE_INTERVALS,
     WATCHDOG_INTERVAL_S,
     Entry,
 )
@@ -28,26 +28,29 @@
 from quetzaldyke.gateway.watch import PrefixWatcher
 from quetzaldyke.platform import names
 
-# The balancer takes an unready entry out after two misses.
-LINGER_S: Final = 2.6
-# The operator's limit on idle connections is kept by the entry itself.
-UNLIMITED_S: Final = 86_400
-# Wait for the first news of the store before callers are accepted.
-FIRST_NEWS_LIMIT_S: Final = 0.1
-# Kept free before the kill at the end of the grace time.
-STOP_RESERVE_S: Final = 0.7
+# Time for the load balancer to stop sending requests here: it removes an
+# entry after two failed readiness probes.
+DEREGISTRATION_DELAY_S: Final = 2.6
+# Longer than any idle timeout of the operator, so that uvicorn closes no idle
+# connection: the entry itself enforces that timeout.
+KEEP_ALIVE_S: Final = 86_400
+# Longest wait for the configuration and the endpoints before callers are
+# accepted.
+SYNC_TIMEOUT_S: Final = 0.1
+# The shutdown ends this long before the SIGKILL at the end of the grace time.
+KILL_MARGIN_S: Final = 0.7
 
 
 async def run_entry(
     installation: Installation,
     writer: LineWriter,
-    callers: socket.socket,
+    listener: socket.socket,
     metrics_port: int,
 ) -> None:
-    """Run an entry until its planned stop is complete.
+    """Run an entry until its graceful shutdown is complete.
 
-    `callers` already listens; connections are accepted when the entry knows
-    what to do with them.
+    `listener` is a listening socket. Connections are accepted once the
+    configuration and the endpoints are known, or after a timeout.
     """
     entry = Entry.from_installation(installation, writer)
     log_event(
@@ -59,7 +62,7 @@
     async with AsyncExitStack() as stack:
         stack.callback(entry.client.close)
         group = await stack.enter_async_context(anyio.create_task_group())
-        start_runner(entry, group)
+        create_runner(entry, group)
         await group.start(
             serve_tunnels,
             installation.host,
@@ -67,56 +70,57 @@
             entry.store.path.store,
         )
         await start_gossip(entry, stack)
-        ended = anyio.Event()
-        follow_store(entry, group)
+        stop_http = anyio.Event()
+        start_watchers(entry, group)
         await group.start(
             serve_http,
             readiness_app(entry.unready_reason),
             HttpOptions(installation.readiness_address, drain_s=1),
-            ended,
+            stop_http,
         )
         await group.start(
             serve_http,
             metrics_app(entry.metrics),
             HttpOptions(f'{installation.host}:{metrics_port}', drain_s=1),
-            ended,
+            stop_http,
         )
-        listener_ended = anyio.Event()
+        stop_listener = anyio.Event()
         group.start_soon(entry.registration.renew)
         group.start_soon(entry.timers.run)
         group.start_soon(watch_signals, entry)
-        await wait_until_informed(entry)
-        entry.callers = await group.start(
+        await wait_until_synced(entry)
+        entry.caller_server = await group.start(
             serve_http,
             entry.ingress,
             HttpOptions(
                 installation.callers_address,
                 drain_s=max(1, int(installation.bounds.grace_s)),
-                keep_alive_s=UNLIMITED_S,
+                keep_alive_s=KEEP_ALIVE_S,
                 protocol=CallerChannel,
             ),
-            listener_ended,
-            callers,
+            stop_listener,
+            listener,
         )
         log_event('entry_accepting', lacks=entry.unready_reason())
         await entry.stopping.wait()
-        await stop(entry, group, listener_ended)
+        await shut_down(entry, group, stop_listener)
         group.cancel_scope.cancel()
     log_event('entry_stopped')
 
 
-async def wait_until_informed(entry: Entry) -> None:
-    """Return once the configuration and the endpoints are known.
+async def wait_until_synced(entry: Entry) -> None:
+    """Wait until the configuration and the endpoints are known.
 
-    The store answers within milliseconds. When it does not, callers are told
-    so instead of being left waiting.
+    Returns after a timeout even if they are not: the store usually answers
+    within milliseconds, and callers should get a refusal during an outage
+    instead of waiting for it to end.
     """
-    with anyio.move_on_after(FIRST_NEWS_LIMIT_S):
-        await entry.informed.wait()
+    with anyio.move_on_after(SYNC_TIMEOUT_S):
+        await entry.synced.wait()
 
 
-def start_runner(entry: Entry, group: TaskGroup) -> None:
-    """Let the entry run batch items."""
+def create_runner(entry: Entry, group: TaskGroup) -> None:
+    """Create the batch runner and attach it to the entry."""
 
     def find_route(name: str) -> Route | None:
         table = entry.ingress.table
@@ -128,14 +132,14 @@
         entry.job_store,
         entry.policy,
         group,
-        lambda: NEWS_INTERVALS * entry.gossip.interval_s(),
+        lambda: REPORT_AGE_INTERVALS * entry.gossip.interval_s(),
         find_route,
     )
-    entry.run_batch(runner)
+    entry.attach_runner(runner)
 
 
 async def start_gossip(entry: Entry, stack: AsyncExitStack) -> None:
-    """Open the datagram socket."""
+    """Open the datagram socket for gossip; `stack` closes it."""
     installation = entry.installation
     await asyncio.get_running_loop().create_datagram_endpoint(
         lambda: entry.gossip,
@@ -144,8 +148,8 @@
     stack.callback(entry.gossip.close)
 
 
-def follow_store(entry: Entry, group: TaskGroup) -> None:
-    """Follow configuration, endpoints and jobs."""
+def start_watchers(entry: Entry, group: TaskGroup) -> None:
+    """Start the watches on the configuration, endpoints and jobs."""
     watchers = [
         PrefixWatcher(
             entry.store,
@@ -164,7 +168,7 @@
             FLEET_PREFIX,
             entry.jobs.apply_snapshot,
             entry.jobs.apply_changes,
-            poll_delay_s=entry.fleet_pause_s,
+            poll_delay_s=entry.poll_delay_s,
         ),
     ]
     watchers[0].on_success = entry.configurations.confirm
@@ -173,47 +177,54 @@
 
 
 async def watch_signals(entry: Entry) -> None:
-    """Start the planned stop at SIGTERM; settings need no reload."""
+    """Start the graceful shutdown at SIGTERM or SIGINT.
+
+    SIGHUP is only logged, because no setting can be reloaded.
+    """
     with anyio.open_signal_receiver(
         signal.SIGTERM,
         signal.SIGINT,
         signal.SIGHUP,
     ) as signals:
-        async for number in signals:
-            if number == signal.SIGHUP:
+        async for received in signals:
+            if received == signal.SIGHUP:
                 log_event('settings_changed', outcome='nothing to reload')
                 continue
-            log_event('stop_requested', signal=int(number))
+            log_event('stop_requested', signal=int(received))
             entry.stopping.set()
 
 
-async def stop(
+async def shut_down(
     entry: Entry,
     group: TaskGroup,
-    listener_ended: anyio.Event,
+    stop_listener: anyio.Event,
 ) -> None:
-    """Leave the balancer, finish what runs, and hand the jobs over."""
-    ends_s = entry.clock.now() + entry.installation.bounds.grace_s
+    """Hand over jobs, stop listening and wait for open requests.
+
+    The listener closes after the load balancer had time to remove this
+    entry. Returns shortly before the end of the grace time at the latest.
+    """
+    deadline_s = entry.clock.now() + entry.installation.bounds.grace_s
     entry.ingress.closing = True
     runner = entry.runner
     assert runner is not None
-    group.start_soon(leave_fleet, entry, runner)
-    await anyio.sleep(LINGER_S)
-    listener_ended.set()
-    while entry.clock.now() < ends_s - STOP_RESERVE_S:
+    group.start_soon(hand_over_and_deregister, entry, runner)
+    await anyio.sleep(DEREGISTRATION_DELAY_S)
+    stop_listener.set()
+    while entry.clock.now() < deadline_s - KILL_MARGIN_S:
         if not entry.ingress.open_requests:
             break
         await anyio.sleep(WATCHDOG_INTERVAL_S)
 
 
-async def leave_fleet(entry: Entry, runner: BatchRunner) -> None:
-    """Hand the jobs over and give the lease up."""
+async def hand_over_and_deregister(entry: Entry, runner: BatchRunner) -> None:
+    """Hand all jobs over to peers that report, and revoke the lease."""
     if entry.owner is not None:
         entry.owner.stopping = True
     successors = [
-        one
-        for one in entry.jobs.members.values()
-        if one.owner_id in entry.loads.peers
+        member
+        for member in entry.jobs.members.values()
+        if member.owner_id in entry.loads.peers
     ]
     await runner.hand_over_all(successors)
     await entry.registration.end()
--- a/src/quetzaldyke/gateway/history.py
+++ b/src/quetzaldyke/gateway/history.py
@@ -1,7 +1,7 @@
-"""Sentences about the events that the processes of the platform log.
+"""Describes logged events of a platform installation in sentences.
 
-They serve `quetzaldyke explain`: each says what happened to a request, item
-or job, what decided it, and where that matters whether the work ran.
+`quetzaldyke explain` prints them. Each sentence says what happened to a
+request, item or job and why, and whether the work ran if that matters.
 """
 
 from __future__ import annotations
@@ -14,33 +14,33 @@
 Fields = dict[str, str]
 Sentence = Callable[[Fields, str], str]
 
-REFUSALS: Final = {
-    'no_slot_in_time': 'its objective would have passed before a slot is free',
+REFUSAL_REASONS: Final = {
+    'no_slot_in_time': 'no slot is expected in time for its latency objective',
     'waited_too_long': 'no slot became free while it waited',
     'no_endpoint': 'no endpoint of its service is known',
-    'crashes_endpoints': 'it broke three endpoints lately',
+    'crashes_endpoints': 'it recently crashed three endpoints',
     'no_configuration': 'the entry had no configuration yet',
-    'configuration_too_old': 'the configuration may be an old one',
+    'configuration_too_old': 'the configuration may be out of date',
 }
 
 
-def served(fields: Fields, process: str) -> str:
-    """Tell that the caller has the whole answer."""
+def describe_served(fields: Fields, process: str) -> str:
+    """Describe a request whose response was relayed completely."""
     return (
-        f'{process} passed the whole answer of endpoint '
-        f'{fields.get("endpoint")} on, {fields.get("elapsed_ms")} ms after '
-        'the request came'
+        f'{process} relayed the whole answer of endpoint '
+        f'{fields.get("endpoint")}, {fields.get("elapsed_ms")} ms after '
+        'the request arrived'
     )
 
 
-def failed(fields: Fields, process: str) -> str:
-    """Tell how a request ended that was not served."""
+def describe_failed(fields: Fields, process: str) -> str:
+    """Describe how a request ended that was not served."""
     status = fields.get('status', '')
-    ends = {
+    results = {
         'broken': 'cut the answer short',
         'caller_left': 'stopped the work because the caller had left',
     }
-    end = ends.get(status, f'answered with status {status}')
+    result = results.get(status, f'answered with status {status}')
     sends = fields.get('sends', '0')
     ran = (
         'no endpoint got the request'
@@ -49,16 +49,17 @@
         f'{fields.get("attempts", "0")}'
     )
     reason = fields.get('reason', '')
-    because = f' ({reason})' if reason else ''
+    explanation = f' ({reason})' if reason else ''
     elapsed_ms = fields.get('elapsed_ms', '0')
-    return f'{process} {end} after {elapsed_ms} ms{because}; {ran}'
+    return f'{process} {result} after {elapsed_ms} ms{explanation}; {ran}'
 
 
-def not_placed(fields: Fields, process: str) -> str:
-    """Tell why a request got no slot."""
+def describe_not_placed(fields: Fields, process: str) -> str:
+    """Describe why no slot was reserved for a request."""
     reason = fields.get('reason', '')
     return (
-        f'{process} found no place for it: {REFUSALS.get(reason, reason)} '
+        f'{process} found no slot for it: '
+        f'{REFUSAL_REASONS.get(reason, reason)} '
         f'({fields.get("slots", "0")} slots, {fields.get("waiting", "0")} '
         f'waiting here, {fields.get("waiting_elsewhere", "0")} at other '
         f'entries, expected wait {fields.get("expected_wait_ms", "0")} ms); '
@@ -66,14 +67,14 @@
     )
 
 
-def refused(fields: Fields, process: str) -> str:
-    """Tell of a request that could not be judged."""
+def describe_refused(fields: Fields, process: str) -> str:
+    """Describe a request refused for lack of a current configuration."""
     reason = fields.get('reason', '')
-    return f'{process} refused it: {REFUSALS.get(reason, reason)}'
+    return f'{process} refused it: {REFUSAL_REASONS.get(reason, reason)}'
 
 
-def attempt_failed(fields: Fields, process: str) -> str:
-    """Tell of a failed try at an endpoint."""
+def describe_attempt_failed(fields: Fields, process: str) -> str:
+    """Describe a failed attempt at an endpoint."""
     ejected = fields.get('ejected_s', '0.0')
     after = (
         f'; the endpoint gets no work from here for {ejected} s'
@@ -87,14 +88,15 @@
         else f'event {last_event} was the last one passed on whole'
     )
     return (
-        f'{process} lost its try at endpoint {fields.get("endpoint")} after '
+        f'{process} had a failed attempt at endpoint '
+        f'{fields.get("endpoint")} after '
         f'{fields.get("waited_ms", "0")} ms: {fields.get("failure")}; '
         f'{passed}{after}'
     )
 
 
-def item_failed(fields: Fields, process: str) -> str:
-    """Tell of an item that an endpoint could not do."""
+def describe_item_failed(fields: Fields, process: str) -> str:
+    """Describe an item to which an endpoint responded with an error."""
     ran = 'ran' if fields.get('ran') == 'True' else 'did not run'
     return (
         f'Endpoint {fields.get("endpoint")} answered {process} with status '
@@ -103,78 +105,78 @@
     )
 
 
-def item_interrupted(fields: Fields, process: str) -> str:
-    """Tell of a run that ended early."""
+def describe_item_interrupted(fields: Fields, process: str) -> str:
+    """Describe a run whose response ended early."""
     return (
-        f'The run at endpoint {fields.get("endpoint")} broke off for '
+        f'The run at endpoint {fields.get("endpoint")} was interrupted for '
         f'{process}: {fields.get("failure")}; {fields.get("events", "0")} '
-        'events are kept and the item goes on elsewhere'
+        'events are kept and the item resumes at another endpoint'
     )
 
 
-def item_preempted(fields: Fields, process: str) -> str:
-    """Tell of a run that made room for an online request."""
+def describe_item_preempted(fields: Fields, process: str) -> str:
+    """Describe a run that was preempted for an online request."""
     return (
-        f'{process} took the item off endpoint {fields.get("endpoint")} to '
+        f'{process} preempted the item on endpoint {fields.get("endpoint")} to '
         f'make room for an online request; {fields.get("events", "0")} '
         'events are kept'
     )
 
 
-def item_done(fields: Fields, process: str) -> str:
-    """Tell that an item has its result."""
+def describe_item_done(fields: Fields, process: str) -> str:
+    """Describe the result of an item."""
     if fields.get('completed') == 'True':
         return f"{process} has the item's whole output"
     return (
-        f'{process} gave the item up after {fields.get("failures", "0")} '
+        f'{process} abandoned the item after {fields.get("failures", "0")} '
         'failed runs'
     )
 
 
-def job_refused(fields: Fields, process: str) -> str:
-    """Tell why a job was not accepted."""
+def describe_job_refused(fields: Fields, process: str) -> str:
+    """Describe why a job was not accepted."""
     reasons = {
         'store_down': 'the store does not answer',
-        'unavailable': 'the store did not take it',
-        'over_quota': 'too many tokens wait already',
-        'unknown': 'it is not known whether the store took it',
+        'unavailable': 'the store did not accept the write',
+        'over_quota': 'too many tokens are queued already',
+        'unknown': 'it is not known whether the store applied the write',
     }
     reason = fields.get('reason', '')
     return f'{process} did not accept the job: {reasons.get(reason, reason)}'
 
 
-def results_not_listed(fields: Fields, process: str) -> str:
-    """Tell of results that could not be written yet."""
+def describe_results_not_listed(fields: Fields, process: str) -> str:
+    """Describe results that could not be written to the store yet."""
     return (
         f'{process} could not list {fields.get("results", "0")} results '
-        f'({fields.get("reason")}); it tries again'
+        f'({fields.get("reason")}); it will retry'
     )
 
 
 SENTENCES: Final[dict[str, Sentence]] = {
-    'request_served': served,
-    'request_failed': failed,
-    'request_not_placed': not_placed,
-    'request_refused': refused,
-    'attempt_failed': attempt_failed,
-    'item_failed': item_failed,
-    'item_interrupted': item_interrupted,
-    'item_preempted': item_preempted,
-    'item_done': item_done,
-    'job_refused': job_refused,
-    'results_not_listed': results_not_listed,
+    'request_served': describe_served,
+    'request_failed': describe_failed,
+    'request_not_placed': describe_not_placed,
+    'request_refused': describe_refused,
+    'attempt_failed': describe_attempt_failed,
+    'item_failed': describe_item_failed,
+    'item_interrupted': describe_item_interrupted,
+    'item_preempted': describe_item_preempted,
+    'item_done': describe_item_done,
+    'job_refused': describe_job_refused,
+    'results_not_listed': describe_results_not_listed,
 }
-ENDS: Final = {
+OUTCOMES: Final = {
     'request_served': 'The caller has the whole answer.',
     'item_done': 'See the job for whether the result is listed.',
 }
 
 
 def outcome_of(events: Sequence[Event]) -> str:
-    """Return the sentence that sums up how it stands, or nothing."""
+    """Return a sentence about the current outcome; empty if unknown."""
     for event in reversed(events):
-        if event.name in ENDS:
-            return ENDS[event.name]
+        if event.name in OUTCOMES:
+            return OUTCOMES[event.name]
         if event.name == 'request_failed':
             return failure_outcome(event.fields)
         if event.name == 'job_refused':
@@ -183,7 +185,7 @@
 
 
 def failure_outcome(fields: Fields) -> str:
-    """Return what the caller of a failed request knows."""
+    """Return a sentence about what the caller of a failed request saw."""
     if fields.get('status') == '503':
         return 'The caller was told that it has not run and when to return.'
     if fields.get('status') == 'caller_left':
--- a/src/quetzaldyke/gateway/logs.py
+++ b/src/quetzaldyke/gateway/logs.py
@@ -1,9 +1,9 @@
-"""Structured log lines on standard output, bounded and never blocking.
+"""Writes structured log lines to standard output, rate-limited, non-blocking.
 
-A budget of lines a second is kept for lines about failures even when lines
-about served requests have used theirs up. What is dropped is counted and
-the count is logged. A reader that does not read can't stall a request: the
-descriptor does not block, and a line that does not fit is dropped.
+Part of the rate limit is reserved for failures, so that lines about served
+requests can't use it up. Dropped lines are counted and the count is logged.
+The descriptor is non-blocking and a line that does not fit is dropped, so a
+reader that stops reading the pipe can't stall requests.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 
 LINES_PER_S: Final = 60.0
 BURST_LINES: Final = 240.0
-# Served requests may use the budget only down to this many lines.
-RESERVED_LINES: Final = 80.0
-# Events of the normal course, which are dropped first.
+# Routine events may use tokens only down to this many.
+RESERVED_TOKENS: Final = 80.0
+# Events of normal operation, which are dropped first.
 ROUTINE_EVENTS: Final = frozenset(
     (
         'request_served',
@@ -37,63 +37,65 @@
 
 
 @dataclass(slots=True)
-class LineBudget:
-    """Lines that may still be written.
+class LineRateLimiter:
+    """Token bucket of log lines, with a reserve for non-routine events.
 
-    >>> budget = LineBudget(allowed=81.0)
-    >>> budget.take(routine=True, now_s=0.0)
+    >>> limiter = LineRateLimiter(tokens=81.0)
+    >>> limiter.try_take(routine=True, now_s=0.0)
     True
-    >>> budget.take(routine=True, now_s=0.0)
+    >>> limiter.try_take(routine=True, now_s=0.0)
     False
-    >>> budget.take(routine=False, now_s=0.0)
+    >>> limiter.try_take(routine=False, now_s=0.0)
     True
     """
 
-    allowed: float = BURST_LINES
+    tokens: float = BURST_LINES
     updated_s: float = 0.0
 
-    def take(self, *, routine: bool, now_s: float) -> bool:
-        """Use one line if the budget has it."""
-        grown = self.allowed + (now_s - self.updated_s) * LINES_PER_S
-        self.allowed = min(BURST_LINES, grown)
+    def try_take(self, *, routine: bool, now_s: float) -> bool:
+        """Take the token of one line; return False if it must be dropped."""
+        refilled = self.tokens + (now_s - self.updated_s) * LINES_PER_S
+        self.tokens = min(BURST_LINES, refilled)
         self.updated_s = now_s
-        needed = RESERVED_LINES + 1 if routine else 1
-        if self.allowed < needed:
+        required = RESERVED_TOKENS + 1 if routine else 1
+        if self.tokens < required:
             return False
-        self.allowed -= 1
+        self.tokens -= 1
         return True
 
 
 @dataclass(slots=True)
 class LineWriter:
-    """Eliot destination that writes key=value lines to a descriptor."""
+    """Eliot destination that writes key=value lines to a file descriptor."""
 
     descriptor: int
     process: str
-    budget: LineBudget = field(default_factory=LineBudget)
+    limiter: LineRateLimiter = field(default_factory=LineRateLimiter)
     dropped: int = 0
-    tail: bytes = b''
+    unsent: bytes = b''
 
     def write(self, message: Mapping[str, object]) -> None:
-        """Write one message unless the budget or the reader forbids it."""
+        """Write a message; drop and count it if it exceeds the rate limit."""
         name = str(message.get('message_type', ''))
         now_s = time.monotonic()
-        if not self.budget.take(routine=name in ROUTINE_EVENTS, now_s=now_s):
+        if not self.limiter.try_take(
+            routine=name in ROUTINE_EVENTS, now_s=now_s
+        ):
             self.dropped += 1
             return
         line = f't={time.time():.3f} process={self.process} '
-        self.send(f'{line}{render_line(message)}\n'.encode())
+        self.write_bytes(f'{line}{render_line(message)}\n'.encode())
 
-    def send(self, line: bytes) -> None:
-        """Hand a line to the descriptor without waiting."""
-        pending = self.tail + line
+    def write_bytes(self, line: bytes) -> None:
+        """Write a line without blocking; drop and count it if that fails."""
+        data = self.unsent + line
         try:
-            sent = os.write(self.descriptor, pending)
+            written = os.write(self.descriptor, data)
         except BlockingIOError:
             self.dropped += 1
             return
-        # The rest of a line that was written in part must follow.
-        self.tail = pending[sent:]
+        # The rest of a partially written line is written before the next one.
+        self.unsent = data[written:]
 
     async def report_dropped(self) -> None:
         """Log how many lines were dropped since the last report."""
@@ -103,23 +105,26 @@
 
 
 def start_logs(process: str, descriptor: int = 1) -> LineWriter:
-    """Send the log lines of this process to a descriptor."""
+    """Send the log lines of this process to a file descriptor.
+
+    This makes the descriptor non-blocking.
+    """
     os.set_blocking(descriptor, False)
     writer = LineWriter(
         descriptor,
         process,
-        LineBudget(updated_s=time.monotonic()),
+        LineRateLimiter(updated_s=time.monotonic()),
     )
     eliot.add_destinations(writer.write)
-    logging.basicConfig(level=logging.ERROR, handlers=[FaultHandler()])
+    logging.basicConfig(level=logging.ERROR, handlers=[LibraryErrorHandler()])
     return writer
 
 
-class FaultHandler(logging.Handler):
-    """Turns error records of libraries into log lines of the process."""
+class LibraryErrorHandler(logging.Handler):
+    """Logs error records of libraries as events of the process."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Log a record, but for faults that end a channel on purpose."""
+        """Log a record unless its exception closes a connection on purpose."""
         fault = record.exc_info[1] if record.exc_info else None
         if not isinstance(fault, IncompleteResponseError):
             log_event(
@@ -131,5 +136,5 @@
 
 
 def log_event(name: str, **fields: object) -> None:
-    """Write one structured line."""
+    """Log an event with its fields."""
     eliot.log_message(message_type=name, **fields)
--- a/src/quetzaldyke/gateway/metrics_app.py
+++ b/src/quetzaldyke/gateway/metrics_app.py
@@ -1,4 +1,4 @@
-"""Serves the metrics of a process as text."""
+"""Serves the metrics of a process in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def metrics_app(metrics: Metrics) -> App:
-    """Return an ASGI application that renders the metrics at any path."""
+    """Return an ASGI app that responds to any path with the metrics."""
 
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
         body = metrics.render().encode()
--- a/src/quetzaldyke/gateway/programs.py
+++ b/src/quetzaldyke/gateway/programs.py
@@ -1,7 +1,7 @@
-"""The programs of a platform installation, from settings to event loop.
+"""Starts the entry and keeper programs: settings, logs, event loop.
 
-Each program imports only its own modules: memory and the time to start count
-for both.
+Each program imports only the modules that it needs, to save memory and
+start-up time.
 """
 
 from __future__ import annotations
@@ -19,29 +19,34 @@
 from quetzaldyke.gateway.model import Installation
 from quetzaldyke.platform.settings import load_installation, settings_path
 
-SETTINGS_STATUS: Final = 2
+SETTINGS_ERROR_STATUS: Final = 2
 
 
 def read_installation() -> Installation:
-    """Return the checked settings, or end with every finding."""
+    """Return the validated settings.
+
+    Prints all errors and exits with status 2 if they are invalid.
+    """
     loaded = load_installation(settings_path())
     if isinstance(loaded, Err):
         sys.stderr.write(f'{loaded.err_value.render()}\n')
-        sys.exit(SETTINGS_STATUS)
+        sys.exit(SETTINGS_ERROR_STATUS)
     return loaded.ok_value
 
 
-def run_entry_program(callers: socket.socket, metrics_port: int) -> None:
-    """Run an entry that already listens for its callers."""
+def run_entry_program(listener: socket.socket, metrics_port: int) -> None:
+    """Run an entry; `listener` is the listening socket for its callers."""
     installation = read_installation()
     writer = start_logs(installation.instance)
     module = importlib.import_module('quetzaldyke.gateway.entry_process')
-    run = partial(module.run_entry, installation, writer, callers, metrics_port)
+    run = partial(
+        module.run_entry, installation, writer, listener, metrics_port
+    )
     anyio.run(run, backend_options={'use_uvloop': True})
 
 
 def run_keeper_program() -> None:
-    """Run a keeper."""
+    """Run the keeper until its graceful shutdown is complete."""
     installation = read_installation()
     start_logs(installation.instance)
     module = importlib.import_module('quetzaldyke.gateway.keeper')
--- a/tests/gateway_fleet.py
+++ b/tests/gateway_fleet.py
@@ -1,4 +1,4 @@
-"""Starts whole gateway fleets as processes on loopback."""
+"""Starts gateway fleets of real processes on the loopback interface."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 
 HOST: Final = '127.0.0.1'
 SOURCE: Final = str(Path(quetzaldyke.__file__).parents[1])
-START_LIMIT_S: Final = 20.0
-POLL_S: Final = 0.05
+START_TIMEOUT_S: Final = 20.0
+POLL_INTERVAL_S: Final = 0.05
 GRACE_S: Final = 5.0
 STREAM_HOST: Final = 'stream.example'
 
-# Each process of tests has a block of ports of its own, as several may run at
+# Each test process uses its own block of ports, because several may run at
 # the same time. The blocks are below the ports of outgoing connections.
 FIRST_PORT: Final = 10_000
-BLOCKS: Final = 200
+PORT_BLOCKS: Final = 200
 BLOCK_PORTS: Final = 100
-BLOCK_START: Final = FIRST_PORT + os.getpid() % BLOCKS * BLOCK_PORTS
-PORTS: Final = itertools.cycle(
-    range(BLOCK_START, BLOCK_START + BLOCK_PORTS),
+FIRST_OWN_PORT: Final = FIRST_PORT + os.getpid() % PORT_BLOCKS * BLOCK_PORTS
+NEXT_PORTS: Final = itertools.cycle(
+    range(FIRST_OWN_PORT, FIRST_OWN_PORT + BLOCK_PORTS),
 )
 
 SETTINGS: Final = """node = "{name}"
@@ -58,8 +58,11 @@
 
 
 def free_port() -> int:
-    """Return a port of the own block that nothing listens on."""
-    for port in itertools.islice(PORTS, BLOCK_PORTS):
+    """Return a port of this process's block that nothing listens on.
+
+    Raises `RuntimeError` if all ports of the block are in use.
+    """
+    for port in itertools.islice(NEXT_PORTS, BLOCK_PORTS):
         with socket.socket() as probe:
             probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             try:
@@ -67,19 +70,19 @@
             except OSError:
                 continue
         return port
-    raise RuntimeError('no free port is left')
+    raise RuntimeError('all ports of the block are in use')
 
 
 @dataclass(slots=True)
 class FleetProcess:
-    """One process that this fleet has started."""
+    """A process of the fleet, with its command and log file."""
 
     name: str
     command: list[str]
     environ: dict[str, str]
     log: IO[bytes]
     process: Process | None = None
-    # Set while it is meant to be stopped or paused.
+    # Set while a test has stopped or paused the process.
     disrupted: bool = False
 
     async def start(self) -> None:
@@ -93,12 +96,12 @@
         )
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to this process and to no other."""
+        """Send a signal to the process if it is running."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
 
     async def kill(self) -> None:
-        """End the process at once."""
+        """Send SIGKILL and wait for the process to end."""
         self.signal(signal.SIGKILL)
         if self.process is not None:
             await self.process.wait()
@@ -106,7 +109,7 @@
 
 @dataclass(slots=True)
 class EntryPorts:
-    """Where one entry listens."""
+    """The ports that one entry listens on."""
 
     front: int
     ready: int
@@ -116,7 +119,7 @@
 
 @dataclass(slots=True)
 class GatewayFleet:
-    """A store, endpoints and entries, each a process of its own."""
+    """A store, endpoints and entries, each in its own process."""
 
     folder: Path
     stack: AsyncExitStack
@@ -135,7 +138,10 @@
         services: int,
         events: int = 30,
     ) -> None:
-        """Start everything and wait until the entries are ready."""
+        """Start all processes and wait until the entries are ready.
+
+        Raises `TimeoutError` if that takes too long.
+        """
         self.store_port = free_port()
         await self.start_standin(
             'store',
@@ -151,18 +157,18 @@
         for number in range(entries):
             await self.start_entry(f'entry-{number}', 'ab'[number % 2])
         for ports in self.ports.values():
-            await self.wait_until_up(ports.ready, '/', wanted=200)
+            await self.wait_until_up(ports.ready, '/', expected_status=200)
         await self.wait_for_endpoints()
 
     async def start_standin(self, name: str, kind: str, *flags: str) -> None:
-        """Start a stand-in."""
+        """Start the stand-in of a platform component."""
         command = [sys.executable, '-m', 'quetzaldyke', 'standin', kind]
-        await self.start_program(name, [*command, *flags], {})
+        await self.start_process(name, [*command, *flags], {})
 
     async def start_endpoint(
         self, name: str, service: str, events: int
     ) -> None:
-        """Start an endpoint that registers itself."""
+        """Start the stand-in of an endpoint, which registers itself."""
         port = free_port()
         self.endpoints[name] = port
         plain = ['--plain'] if service == 'app' else []
@@ -180,12 +186,12 @@
         )
 
     async def start_entry(self, name: str, zone: str) -> None:
-        """Start an entry behind a link to the store of its own."""
+        """Start an entry that reaches the store through its own proxy."""
         ports = EntryPorts(*(free_port() for _ in range(4)))
         self.ports[name] = ports
-        link = await Proxy.listen(free_port(), self.store_port)
-        self.stack.callback(link.close)
-        self.store_proxies[name] = link
+        proxy = await Proxy.listen(free_port(), self.store_port)
+        self.stack.callback(proxy.close)
+        self.store_proxies[name] = proxy
         path = self.folder / f'{name}.toml'
         path.write_text(
             SETTINGS.format(
@@ -194,11 +200,11 @@
                 peer=ports.peer,
                 front=ports.front,
                 ready=ports.ready,
-                store=link.port,
+                store=proxy.port,
                 grace=int(GRACE_S),
             ),
         )
-        await self.start_program(
+        await self.start_process(
             name,
             [
                 sys.executable,
@@ -211,42 +217,48 @@
             {'QUETZALDYKE_CONFIG': str(path)},
         )
 
-    async def start_program(
+    async def start_process(
         self,
         name: str,
         command: list[str],
         environ: dict[str, str],
     ) -> None:
-        """Start a process that ends with the fleet."""
+        """Start a process that is killed at the end of the fleet."""
         log = (self.folder / f'{name}.log').open('ab')
         self.stack.callback(log.close)
-        program = FleetProcess(name, command, environ, log)
-        self.processes[name] = program
-        await program.start()
-        self.stack.push_async_callback(program.kill)
+        fleet_process = FleetProcess(name, command, environ, log)
+        self.processes[name] = fleet_process
+        await fleet_process.start()
+        self.stack.push_async_callback(fleet_process.kill)
 
     async def wait_until_up(
-        self, port: int, path: str, wanted: int = 0
+        self, port: int, path: str, expected_status: int = 0
     ) -> None:
-        """Wait until a process answers."""
-        with anyio.fail_after(START_LIMIT_S):
+        """Wait until a process responds, with the expected status if any.
+
+        Raises `TimeoutError` if that takes too long.
+        """
+        with anyio.fail_after(START_TIMEOUT_S):
             while True:
                 status, _ = await self.call(port, 'GET', path)
-                if status and wanted in {0, status}:
+                if status and expected_status in {0, status}:
                     return
-                await anyio.sleep(POLL_S)
+                await anyio.sleep(POLL_INTERVAL_S)
 
     async def wait_for_endpoints(self) -> None:
-        """Wait until every endpoint is in the store's list."""
+        """Wait until every endpoint is registered in the store.
+
+        Raises `TimeoutError` if that takes too long.
+        """
         path = '/quetzaldyke/kv-range?prefix=servers/'
-        with anyio.fail_after(START_LIMIT_S):
+        with anyio.fail_after(START_TIMEOUT_S):
             while True:
                 _, body = await self.call(self.store_port, 'GET', path)
                 if body and len(orjson.loads(body)['items']) >= len(
                     self.endpoints,
                 ):
                     return
-                await anyio.sleep(POLL_S)
+                await anyio.sleep(POLL_INTERVAL_S)
 
     async def call(
         self,
@@ -255,9 +267,9 @@
         path: str,
         body: object = None,
         headers: dict[str, str] | None = None,
-        limit_s: float = 3.0,
+        timeout_s: float = 3.0,
     ) -> tuple[int, bytes]:
-        """Call a process; status 0 when no whole answer came."""
+        """Send a request; return status 0 if the response is incomplete."""
         exchange = Exchange()
         lines = [(b'host', STREAM_HOST.encode())]
         for name, text in (headers or {}).items():
@@ -266,7 +278,7 @@
         content = b'' if body is None else orjson.dumps(body)
         request = encode_request(method.encode(), path.encode(), lines, content)
         try:
-            with anyio.fail_after(limit_s):
+            with anyio.fail_after(timeout_s):
                 await self.client.start(HOST, port, request, exchange)
                 head = await exchange.read_head()
                 return head.status, await exchange.read_body()
@@ -276,7 +288,7 @@
             exchange.cancel()
 
     async def set_faults(self, port: int, **faults: object) -> None:
-        """Switch faults of a stand-in."""
+        """Enable or disable faults of a stand-in."""
         await self.call(port, 'POST', '/faults', faults)
 
     async def write_configuration(self, timeout_ms: int) -> None:
@@ -285,7 +297,7 @@
         await self.put('op/config', configuration(self.version, timeout_ms))
 
     async def put(self, key: str, document: object) -> None:
-        """Write a key as the operator does."""
+        """Write a document to a key of the store, as the operator does."""
         value = base64.b64encode(orjson.dumps(document)).decode()
         await self.call(
             self.store_port,
--- a/tests/test_gateway_history.py
+++ b/tests/test_gateway_history.py
@@ -1,4 +1,4 @@
-"""The history of a request over the logs of several entries."""
+"""Tests that `explain` describes a request from the logs of several entries."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from quetzaldyke.commands.explain import explain
 from quetzaldyke.commands.timeline import parse_line
 
-FIRST = (
+ENTRY_1_LOG = (
     't=1790382709.490 process=entry-1 event=request_not_placed request=ab12 '
     'service=lm reason=no_slot_in_time retry_after_s=0.85 '
     'expected_wait_ms=579 waiting=24 waiting_elsewhere=17 slots=40\n'
@@ -19,7 +19,7 @@
     't=1790382709.500 process=entry-1 event=request_served request=other '
     'endpoint=i-1 elapsed_ms=3 reason=served\n'
 )
-SECOND = (
+ENTRY_2_LOG = (
     't=1790382712.120 process=entry-2 event=attempt_failed request=cd34 '
     'endpoint=i-9 failure="broken reset" attempts=1 last_event=4 '
     'waited_ms=70 running=8 ejected_s=0.5\n'
@@ -31,14 +31,17 @@
 )
 
 
-def history_of(
+def explain_lines(
     subject: str,
     folder: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> list[str]:
     """Return the lines that `explain` prints."""
     paths = []
-    for name, text in (('entry-2.log', SECOND), ('entry-1.log', FIRST)):
+    for name, text in (
+        ('entry-2.log', ENTRY_2_LOG),
+        ('entry-1.log', ENTRY_1_LOG),
+    ):
         path = folder / name
         path.write_text(text)
         paths.append(str(path))
@@ -46,12 +49,12 @@
     return capsys.readouterr().out.splitlines()
 
 
-def test_refusal_under_load_is_told(
+def test_refusal_under_load_is_explained(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """Guards against an id whose lines on the platform say nothing."""
-    lines = history_of('ab12', tmp_path, capsys)
+    """Guards against a refusal that `explain` does not explain."""
+    lines = explain_lines('ab12', tmp_path, capsys)
     assert len(lines) == 4
     assert '40 slots, 24 waiting here, 17 at other entries' in lines[1]
     assert 'return after 0.85 s' in lines[1]
@@ -61,12 +64,12 @@
     )
 
 
-def test_events_of_one_millisecond_stay_apart_and_in_order(
+def test_events_within_a_millisecond_keep_their_order(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """Guards against events that vanish behind others of the same stamp."""
-    lines = history_of('cd34', tmp_path, capsys)
+    """Guards against losing events with nearly the same timestamp."""
+    lines = explain_lines('cd34', tmp_path, capsys)
     assert 'broken reset; event 4 was the last one passed on whole' in lines[1]
     assert 'no work from here for 0.5 s' in lines[1]
     assert 'cut the answer short' in lines[2]
@@ -84,6 +87,6 @@
         't=1.0 process=a',
     ],
 )
-def test_lines_of_others_are_left_out(line: str) -> None:
-    """Guards against a crash over lines that no process of ours wrote."""
+def test_foreign_lines_are_ignored(line: str) -> None:
+    """Guards against a crash on lines that no gateway process wrote."""
     assert parse_line(line) is None
--- a/tests/test_gateway_process_parts.py
+++ b/tests/test_gateway_process_parts.py
@@ -1,4 +1,4 @@
-"""Tests of logs, datagrams, watches, feeds and the keeper."""
+"""Tests of log writers, gossip datagrams, watches, feeds and the keeper."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 )
 from quetzaldyke.gateway.keeper import run_keeper
 from quetzaldyke.gateway.loads import RequestCounts
-from quetzaldyke.gateway.logs import LineBudget, LineWriter
+from quetzaldyke.gateway.logs import LineRateLimiter, LineWriter
 from quetzaldyke.gateway.model import Bounds, Configuration, Installation
 from quetzaldyke.gateway.watch import PrefixWatcher
 from quetzaldyke.parts.kv import KvError, Record
@@ -47,22 +47,22 @@
 
 @pytest.fixture
 def anyio_backend() -> str:
-    """Run on the backend that the processes use."""
+    """Run the tests on asyncio, as the processes do."""
     return 'asyncio'
 
 
-def test_reader_that_does_not_read_stalls_nobody() -> None:
-    """Guards against a full pipe that blocks requests."""
+def test_full_pipe_does_not_block_log_writes() -> None:
+    """Guards against requests blocked by a log reader that stopped reading."""
     reader, writer_end = os.pipe()
     os.set_blocking(writer_end, False)
     writer = LineWriter(
         writer_end,
         'p',
-        LineBudget(allowed=1e9, updated_s=time.monotonic()),
+        LineRateLimiter(tokens=1e9, updated_s=time.monotonic()),
     )
-    # More than a pipe holds, whatever its size.
+    # 1.8 MB exceed the capacity of any pipe.
     for number in range(2000):
-        writer.budget.allowed = 1000.0
+        writer.limiter.tokens = 1000.0
         writer.write(
             {'message_type': 'event', 'filler': 'x' * 900, 'n': number}
         )
@@ -71,15 +71,15 @@
     os.close(writer_end)
 
 
-def test_lines_stay_whole_after_a_partial_write() -> None:
-    """Guards against two lines that run into each other."""
+def test_lines_stay_complete_after_a_partial_write() -> None:
+    """Guards against mixed lines when a write to a full pipe is partial."""
     reader, writer_end = os.pipe()
     os.set_blocking(writer_end, False)
     os.set_blocking(reader, False)
     writer = LineWriter(writer_end, 'p')
     seen = b''
     for number in range(300):
-        writer.budget.allowed = 1000.0
+        writer.limiter.tokens = 1000.0
         writer.write(
             {'message_type': 'event', 'filler': 'y' * 997, 'n': number}
         )
@@ -94,22 +94,22 @@
 
 
 @given(st.integers(1, 5000))
-def test_lines_a_second_are_bounded(events: int) -> None:
-    """Guards against logs that grow with the load."""
-    budget = LineBudget()
+def test_log_lines_per_second_are_limited(events: int) -> None:
+    """Guards against a log volume that grows with the load."""
+    limiter = LineRateLimiter()
     written = sum(
-        budget.take(routine=number % 3 > 0, now_s=number / events)
+        limiter.try_take(routine=number % 3 > 0, now_s=number / events)
         for number in range(events)
     )
     assert written <= 300
 
 
-def test_failures_are_logged_when_routine_lines_are_dropped() -> None:
-    """Guards against failures lost among lines of served requests."""
-    budget = LineBudget()
-    while budget.take(routine=True, now_s=0.0):
-        """Use up what routine lines may use."""
-    assert budget.take(routine=False, now_s=0.0)
+def test_failures_are_logged_while_routine_lines_are_dropped() -> None:
+    """Guards against lines about served requests using up the rate limit."""
+    limiter = LineRateLimiter()
+    while limiter.try_take(routine=True, now_s=0.0):
+        """Take all tokens that routine lines may take."""
+    assert limiter.try_take(routine=False, now_s=0.0)
 
 
 COUNTS = st.dictionaries(
@@ -138,24 +138,26 @@
 
 
 @given(MESSAGES)
-def test_datagrams_keep_their_meaning(message: GossipMessage) -> None:
-    """Guards against fields that change places between entries."""
+def test_datagrams_round_trip(message: GossipMessage) -> None:
+    """Guards against fields swapped between encoder and decoder."""
     assert decode(encode(message)) == message
 
 
 @given(st.binary(max_size=40))
-def test_garbage_ends_nothing(datagram: bytes) -> None:
-    """Guards against a stray datagram that ends an entry."""
+def test_malformed_datagram_raises_no_error(datagram: bytes) -> None:
+    """Guards against a stray datagram that crashes an entry."""
     message = decode(datagram)
     assert message is None or message.sender is not None
 
 
 @dataclass(slots=True)
 class ScriptedStore(FakeStore):
-    """A store whose watches answer by a script."""
+    """A store whose watch calls return predefined results."""
 
-    watches: list[Result[WatchBatch, KvError]] = field(default_factory=list)
-    asked: list[int] = field(default_factory=list)
+    watch_results: list[Result[WatchBatch, KvError]] = field(
+        default_factory=list
+    )
+    after_revisions: list[int] = field(default_factory=list)
 
     async def watch(
         self,
@@ -163,15 +165,15 @@
         after_revision: int,
         wait_s: float,
     ) -> Result[WatchBatch, KvError]:
-        """Return the next answer of the script."""
-        self.asked.append(after_revision)
-        return self.watches.pop(0)
+        """Record the revision and return the next predefined result."""
+        self.after_revisions.append(after_revision)
+        return self.watch_results.pop(0)
 
 
-async def test_lost_history_means_a_new_list() -> None:
-    """Guards against changes missed when the store forgets its history."""
+async def test_compacted_history_triggers_a_new_snapshot() -> None:
+    """Guards against changes missed when the store compacts its history."""
     lists: list[Snapshot] = []
-    store = ScriptedStore(watches=[Err(KvError('compacted'))])
+    store = ScriptedStore(watch_results=[Err(KvError('compacted'))])
     store.state.put('p/a', b'1', 0)
     watcher = PrefixWatcher(store, 'p/', lists.append, lambda *_: None)
     await watcher.poll()
@@ -181,12 +183,12 @@
     assert [len(one.records) for one in lists] == [1, 2]
 
 
-async def test_failed_watch_goes_on_from_its_revision() -> None:
-    """Guards against changes missed over a broken watch."""
+async def test_failed_watch_resumes_from_its_revision() -> None:
+    """Guards against changes missed after a failed or stale watch call."""
     seen: list[int] = []
     change = WatchedChange('p/a', 7, b'1')
     store = ScriptedStore(
-        watches=[
+        watch_results=[
             Err(KvError('unknown')),
             Ok(WatchBatch([change], 7)),
             Ok(WatchBatch([], 6)),
@@ -203,24 +205,28 @@
     for _ in range(4):
         await watcher.poll()
     # A stale answer does not move the revision back.
-    assert (store.asked, seen, watcher.revision) == ([3, 3, 7, 7], [7], 9)
+    assert (store.after_revisions, seen, watcher.revision) == (
+        [3, 3, 7, 7],
+        [7],
+        9,
+    )
 
 
-def record_of(version: int) -> Record:
-    """Return the operator's record of a version."""
+def config_record(version: int) -> Record:
+    """Return the store record of a configuration version."""
     return Record('op/config', orjson.dumps(configuration(version, 1000)), 1)
 
 
-def test_configuration_never_goes_back() -> None:
-    """Guards against an older version that comes late."""
-    taken: list[Configuration] = []
+def test_older_configuration_is_ignored() -> None:
+    """Guards against applying an older or unreadable version."""
+    applied: list[Configuration] = []
     now = [0.0]
-    feed = ConfigurationFeed(lambda: now[0], taken.append)
-    feed.on_snapshot(Snapshot([record_of(5)], 1))
-    feed.on_snapshot(Snapshot([record_of(4)], 2))
+    feed = ConfigurationFeed(lambda: now[0], applied.append)
+    feed.on_snapshot(Snapshot([config_record(5)], 1))
+    feed.on_snapshot(Snapshot([config_record(4)], 2))
     feed.on_changes([WatchedChange('op/config', 3, b'{broken')], 3)
-    feed.on_changes([WatchedChange('op/config', 4, record_of(6).value)], 4)
-    assert [one.version for one in taken] == [5, 6]
+    feed.on_changes([WatchedChange('op/config', 4, config_record(6).value)], 4)
+    assert [one.version for one in applied] == [5, 6]
     assert feed.is_engine('lm')
     assert not feed.is_engine('app')
     feed.confirm()
@@ -228,8 +234,8 @@
     assert not feed.is_current()
 
 
-def test_unreadable_entry_hides_no_other() -> None:
-    """Guards against one broken record that empties the list."""
+def test_unreadable_record_does_not_hide_others() -> None:
+    """Guards against one unreadable record that empties the whole list."""
     table = EndpointTable()
     feed = EndpointFeed(table, lambda: 0.0, lambda: None)
     good = orjson.dumps(
@@ -251,8 +257,8 @@
     assert not table.usable('lm', 0.0)
 
 
-async def test_keeper_answers_that_its_instance_is_empty() -> None:
-    """Guards against an instance that can never be taken away."""
+async def test_keeper_reports_its_instance_as_emptied() -> None:
+    """Guards against an instance that the operator can never retire."""
     async with anyio.create_task_group() as group:
         standin = await group.start(run_platform_store, PlatformStoreOptions())
         installation = Installation(
--- a/tests/test_gateway_processes.py
+++ b/tests/test_gateway_processes.py
@@ -1,4 +1,4 @@
-"""Tests of whole gateway fleets as real processes."""
+"""End-to-end tests of gateway fleets that run as real processes."""
 
 from __future__ import annotations
 
@@ -14,80 +14,87 @@
 from quetzaldyke.standins.platform_endpoint import event_of, whole_output
 
 EVENTS = 30
-Body = Callable[[GatewayFleet], Awaitable[None]]
+Scenario = Callable[[GatewayFleet], Awaitable[None]]
 
 
-def play(tmp_path: Path, body: Body, engines: int = 2) -> None:
-    """Run a body against a fleet of two entries."""
+def run_with_fleet(
+    tmp_path: Path, scenario: Scenario, engines: int = 2
+) -> None:
+    """Run a scenario against a new fleet of two entries."""
 
     async def run() -> None:
         async with AsyncExitStack() as stack:
             fleet = GatewayFleet(tmp_path, stack)
             await fleet.start(2, engines=engines, services=1, events=EVENTS)
-            await body(fleet)
+            await scenario(fleet)
 
     anyio.run(run)
 
 
-async def ask(
+async def send_request(
     fleet: GatewayFleet,
     entry: str,
     path: str,
     request_id: str,
 ) -> tuple[int, bytes]:
-    """Send a request to an entry."""
+    """Send a request to an entry; return its status and body."""
     return await fleet.call(
         fleet.ports[entry].front,
         'POST',
         path,
         None,
         {'Attempt-Id': request_id, 'Deadline-Ms': '4000'},
-        limit_s=6.0,
+        timeout_s=6.0,
     )
 
 
-def whole(request_id: str) -> bytes:
-    """Return the whole stream of a request."""
+def expected_stream(request_id: str) -> bytes:
+    """Return the complete stream of a request."""
     return b''.join(
         event_of(request_id, number) for number in range(1, EVENTS + 1)
     )
 
 
-def test_requests_of_each_kind(tmp_path: Path) -> None:
-    """Guards against a path that serves nothing, or what it should not."""
+def test_requests_of_each_route_kind(tmp_path: Path) -> None:
+    """Guards against a route that serves no request or the wrong ones."""
 
-    async def body(fleet: GatewayFleet) -> None:
-        assert await ask(fleet, 'entry-0', '/again/x', 'r1') == (
+    async def scenario(fleet: GatewayFleet) -> None:
+        assert await send_request(fleet, 'entry-0', '/again/x', 'r1') == (
             200,
-            whole('r1'),
+            expected_stream('r1'),
         )
-        assert await ask(fleet, 'entry-1', '/book/x', 'r2') == (200, b'done r2')
-        assert (await ask(fleet, 'entry-0', '/nowhere/x', 'r3'))[0] == 404
+        assert await send_request(fleet, 'entry-1', '/book/x', 'r2') == (
+            200,
+            b'done r2',
+        )
+        assert (await send_request(fleet, 'entry-0', '/nowhere/x', 'r3'))[
+            0
+        ] == 404
         status, _ = await fleet.call(
             fleet.ports['entry-0'].front,
             'POST',
             '/look/x',
         )
         assert status == 400
-        status, text = await fleet.call(
+        status, content = await fleet.call(
             fleet.ports['entry-0'].metrics,
             'GET',
             '/metrics',
         )
         assert status == 200
-        assert b'requests_total{kind="stream",status="200"} 1' in text
+        assert b'requests_total{kind="stream",status="200"} 1' in content
 
-    play(tmp_path, body)
+    run_with_fleet(tmp_path, scenario)
 
 
-def test_stream_goes_on_when_its_engine_is_killed(tmp_path: Path) -> None:
-    """Guards against streams lost, doubled or joined wrongly by a crash."""
+def test_stream_resumes_when_its_engine_is_killed(tmp_path: Path) -> None:
+    """Guards against lost or repeated events when an endpoint crashes."""
 
-    async def body(fleet: GatewayFleet) -> None:
+    async def scenario(fleet: GatewayFleet) -> None:
         answers: dict[str, tuple[int, bytes]] = {}
 
         async def stream(request_id: str) -> None:
-            answers[request_id] = await ask(
+            answers[request_id] = await send_request(
                 fleet,
                 'entry-0',
                 '/again/x',
@@ -100,27 +107,34 @@
             await anyio.sleep(0.12)
             await fleet.processes['i-lm0'].kill()
         assert answers == {
-            request_id: (200, whole(request_id)) for request_id in answers
+            request_id: (200, expected_stream(request_id))
+            for request_id in answers
         }
 
-    play(tmp_path, body)
+    run_with_fleet(tmp_path, scenario)
 
 
-def test_planned_stop_cuts_no_stream(tmp_path: Path) -> None:
-    """Guards against requests cut by SIGTERM."""
+def test_graceful_shutdown_interrupts_no_stream(tmp_path: Path) -> None:
+    """Guards against requests interrupted by SIGTERM.
 
-    async def body(fleet: GatewayFleet) -> None:
+    An entry must also serve the requests that the load balancer still sends
+    after the signal.
+    """
+
+    async def scenario(fleet: GatewayFleet) -> None:
         answers = []
 
         async def stream(number: int) -> None:
-            answers.append(await ask(fleet, 'entry-0', '/once/x', f'r{number}'))
+            answers.append(
+                await send_request(fleet, 'entry-0', '/once/x', f'r{number}')
+            )
 
         async with anyio.create_task_group() as group:
             for number in range(3):
                 group.start_soon(stream, number)
             await anyio.sleep(0.1)
             fleet.processes['entry-0'].signal(signal.SIGTERM)
-            # The balancer goes on sending for two readiness periods.
+            # The load balancer keeps sending for two readiness periods.
             for number in range(3, 9):
                 await anyio.sleep(0.2)
                 group.start_soon(stream, number)
@@ -130,13 +144,15 @@
         with anyio.fail_after(10):
             assert await process.wait() == 0
 
-    play(tmp_path, body)
+    run_with_fleet(tmp_path, scenario)
 
 
-def test_job_is_read_at_any_entry_after_its_owner_died(tmp_path: Path) -> None:
+def test_job_is_readable_at_any_entry_after_its_owner_crashed(
+    tmp_path: Path,
+) -> None:
     """Guards against jobs that are lost with the entry that accepted them."""
 
-    async def body(fleet: GatewayFleet) -> None:
+    async def scenario(fleet: GatewayFleet) -> None:
         items = [
             {
                 'id': f'j-{number}',
@@ -171,27 +187,27 @@
         assert all(
             one['output'] == whole_output(one['id'], EVENTS) for one in results
         )
-        status, text = await fleet.call(
+        status, content = await fleet.call(
             other,
             'GET',
             '/quetzaldyke/items/j?id=j-0',
         )
-        assert (status, text) == (200, b'hi')
+        assert (status, content) == (200, b'hi')
         status, _ = await fleet.call(other, 'GET', '/quetzaldyke/lots/none')
         assert status == 404
 
-    play(tmp_path, body)
+    run_with_fleet(tmp_path, scenario)
 
 
-def test_store_outage_stops_no_online_request(tmp_path: Path) -> None:
+def test_store_outage_does_not_affect_online_requests(tmp_path: Path) -> None:
     """Guards against online requests that depend on the store."""
 
-    async def body(fleet: GatewayFleet) -> None:
+    async def scenario(fleet: GatewayFleet) -> None:
         await fleet.set_faults(fleet.store_port, refuse=True, lapse=True)
         await anyio.sleep(1.5)
-        assert await ask(fleet, 'entry-0', '/again/x', 'r1') == (
+        assert await send_request(fleet, 'entry-0', '/again/x', 'r1') == (
             200,
-            whole('r1'),
+            expected_stream('r1'),
         )
         status, _ = await fleet.call(
             fleet.ports['entry-0'].front,
@@ -202,4 +218,4 @@
         )
         assert status == 503
 
-    play(tmp_path, body)
+    run_with_fleet(tmp_path, scenario)
--- a/tests/test_gateway_start.py
+++ b/tests/test_gateway_start.py
@@ -1,4 +1,4 @@
-"""An entry listens before it loads its modules."""
+"""Tests of the start of an entry, which listens before it loads modules."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 # Modules whose import takes tens of milliseconds on a small instance.
 LARGE_MODULES: Final = ('anyio', 'eliot', 'pydantic', 'uvicorn', 'uvloop')
-LOADED_AT_START: Final = """
+LOADED_MODULES_SCRIPT: Final = """
 import sys
 import quetzaldyke.gateway.__main__
 print(','.join(name for name in sys.argv[1:] if name in sys.modules))
 """
 
 
-def test_nothing_large_is_imported_before_listening() -> None:
-    """Callers would be turned away for as long as the import takes."""
+def test_no_large_module_is_imported_before_listening() -> None:
+    """Guards against connections refused for as long as the import takes."""
     loaded = subprocess.run(
-        [sys.executable, '-c', LOADED_AT_START, *LARGE_MODULES],
+        [sys.executable, '-c', LOADED_MODULES_SCRIPT, *LARGE_MODULES],
         env={'PYTHONPATH': SOURCE},
         capture_output=True,
         text=True,
@@ -34,7 +34,10 @@
 
 
 def test_entry_listens_before_it_reads_its_settings() -> None:
-    """The address comes as an argument: the settings are checked later."""
+    """Guards against settings that are read before the listener is open.
+
+    An address in use is reported although there is no settings file.
+    """
     address = f'{HOST}:{free_port()}'
     with listen(address):
         refused = subprocess.run(
@@ -56,8 +59,8 @@
 
 
 @pytest.mark.parametrize('address', ['nowhere', '127.0.0.1:port', ':70000'])
-def test_wrong_address_is_told_without_a_trace(address: str) -> None:
-    """Guards against a stack trace in place of the argument's name."""
+def test_invalid_address_is_reported_without_a_traceback(address: str) -> None:
+    """Guards against a traceback in place of the argument's name."""
     refused = subprocess.run(
         [sys.executable, '-m', 'quetzaldyke.gateway', 'entry', address, '1'],
         env={'PYTHONPATH': SOURCE},
@@ -70,8 +73,8 @@
     assert 'Traceback' not in refused.stderr
 
 
-def test_connections_wait_in_the_queue_until_they_are_accepted() -> None:
-    """A caller that connects during the start is not turned away."""
+def test_connections_are_queued_until_they_are_accepted() -> None:
+    """Guards against refusing a caller that connects during the start."""
     port = free_port()
     with listen(f'{HOST}:{port}') as listener:
         with socket.create_connection((HOST, port), timeout=1) as caller:
