--- a/src/quetzaldyke/gateway/entry_process.py
+++ b/src/quetzaldyke/gateway/entry_process.py
@@ -31,8 +31,8 @@
 # Time for the load balancer to stop sending requests here: it removes an
 # entry after two failed readiness probes.
 DEREGISTRATION_DELAY_S: Final = 2.6
-# Longer than any idle timeout of the operator, so that uvicorn closes no idle
-# connection: the entry itself enforces that timeout.
+# Effectively disables uvicorn's idle timeout: the entry itself enforces the
+# operator's limit on idle connections.
 KEEP_ALIVE_S: Final = 86_400
 # Longest wait for the configuration and the endpoints before callers are
 # accepted.
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -55,7 +55,7 @@
     return 'asyncio'
 
 
-def test_unknown_settings_are_ignored(tmp_path: Path) -> None:
+def test_settings_are_read_despite_unknown_fields(tmp_path: Path) -> None:
     """Guards against a failed start because the platform added a setting."""
     path = tmp_path / 'local.toml'
     path.write_text(SETTINGS)
