--- a/src/quetzaldyke/gateway/crashes.py
+++ b/src/quetzaldyke/gateway/crashes.py
@@ -28,7 +28,7 @@
 
 def make_suspect_book() -> SuspectBook:
     """Return an empty table of suspects with this module's retention."""
-    return SuspectBook(kept_ms=CRASH_RETENTION_MS)
+    return SuspectBook(retention_ms=CRASH_RETENTION_MS)
 
 
 @dataclass(slots=True)
@@ -77,7 +77,7 @@
 
     def is_suspect(self, fingerprint: str) -> bool:
         """Tell whether a request has recently crashed too many endpoints."""
-        crash_ids = self.suspects.open_crashes(fingerprint)
+        crash_ids = self.suspects.uncleared_crashes(fingerprint)
         crashed = {crash_origin(crash_id) for crash_id in crash_ids}
         return len(crashed) >= MIN_CRASHED_ENDPOINTS
 
