--- a/src/quetzaldyke/parts/transactions.py
+++ b/src/quetzaldyke/parts/transactions.py
@@ -104,5 +104,5 @@
     async def renew_lease(self, lease_id: int) -> Result[None, KvError]:
         """Extend a lease; fail with `no_lease` if it has lapsed."""
 
-    async def end_lease(self, lease_id: int) -> Result[None, KvError]:
+    async def revoke_lease(self, lease_id: int) -> Result[None, KvError]:
         """End a lease and delete its keys."""
