--- a/src/quetzaldyke/process/batches_http.py
+++ b/src/quetzaldyke/process/batches_http.py
@@ -1,4 +1,4 @@
-"""HTTP routes for files and batch jobs."""
+"""HTTP routes for uploaded files and batch jobs."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 SERVER_FAULT: Final = 500
 JSON_LINES: Final = 'application/jsonl'
 
-# Returns the caller's organisation, or the refusal to send.
+# Returns the caller's organisation, or the error response to send.
 Authenticate = Callable[[Request], 'str | Response']
 Handler = Callable[[Request, str], Any]
 MAX_NAME_CHARS: Final = 64
@@ -52,7 +52,7 @@
 
 
 class JobBody(BaseModel):
-    """Body of a request for a job."""
+    """Body of a request that creates a job."""
 
     model_config = ConfigDict(extra='forbid')
 
@@ -70,12 +70,12 @@
 ) -> list[Route]:
     """Return the routes; each handler gets the caller's organisation."""
 
-    def guarded(handler: Handler) -> Callable[[Request], Any]:
+    def authenticated(handler: Handler) -> Callable[[Request], Any]:
         async def endpoint(request: Request) -> Response:
-            known = authenticate(request)
-            if isinstance(known, Response):
-                return known
-            answer: Response = await handler(request, known)
+            organisation = authenticate(request)
+            if isinstance(organisation, Response):
+                return organisation
+            answer: Response = await handler(request, organisation)
             return answer
 
         return endpoint
@@ -86,56 +86,58 @@
     async def get_file(request: Request, organisation: str) -> Response:
         file_id = request.path_params['file_id']
         found = await service.file(organisation, file_id)
-        return respond(found.map(file_document))
+        return document_response(found.map(file_document))
 
     async def get_content(request: Request, organisation: str) -> Response:
         file_id = request.path_params['file_id']
-        return stream(await open_lines(service, organisation, file_id))
+        return lines_response(
+            await file_content(service, organisation, file_id)
+        )
 
     async def create(request: Request, organisation: str) -> Response:
         read = await read_body(request.receive, request.headers, MAX_JOB_BYTES)
         if isinstance(read, Err):
             return refusal_response(read.err_value, request)
-        parsed = job_request(read.ok_value, request, organisation)
+        parsed = parse_job_request(read.ok_value, request, organisation)
         if isinstance(parsed, Err):
             return error_response(parsed.err_value)
         created = await service.create_job(parsed.ok_value)
-        return respond(created.map(job_document))
+        return document_response(created.map(job_document))
 
-    async def list_all(request: Request, organisation: str) -> Response:
-        limit = limit_of(request.query_params.get('limit', ''))
+    async def list_jobs(request: Request, organisation: str) -> Response:
+        limit = parse_limit(request.query_params.get('limit', ''))
         listed = await service.list_jobs(organisation, limit)
-        return respond(listed.map(list_document))
+        return document_response(listed.map(list_document))
 
-    async def get_one(request: Request, organisation: str) -> Response:
+    async def get_job(request: Request, organisation: str) -> Response:
         job_id = request.path_params['job_id']
         found = await service.status(organisation, job_id)
-        return respond(found.map(job_document))
+        return document_response(found.map(job_document))
 
     async def cancel(request: Request, organisation: str) -> Response:
         job_id = request.path_params['job_id']
         cancelled = await service.cancel(organisation, job_id)
-        return respond(cancelled.map(job_document))
+        return document_response(cancelled.map(job_document))
 
-    table: list[tuple[str, Handler, str]] = [
+    routes: list[tuple[str, Handler, str]] = [
         ('/v1/files', upload, 'POST'),
         ('/v1/files/{file_id}', get_file, 'GET'),
         ('/v1/files/{file_id}/content', get_content, 'GET'),
         ('/v1/batches', create, 'POST'),
-        ('/v1/batches', list_all, 'GET'),
-        ('/v1/batches/{job_id}', get_one, 'GET'),
+        ('/v1/batches', list_jobs, 'GET'),
+        ('/v1/batches/{job_id}', get_job, 'GET'),
         ('/v1/batches/{job_id}/cancel', cancel, 'POST'),
     ]
     return [
-        Route(path, guarded(handler), methods=[method])
-        for path, handler, method in table
+        Route(path, authenticated(handler), methods=[method])
+        for path, handler, method in routes
     ]
 
 
-def limit_of(text: str) -> int:
-    """Return the number of jobs to list.
+def parse_limit(text: str) -> int:
+    """Return the number of jobs to list, at most 100; 100 for invalid text.
 
-    >>> limit_of('5'), limit_of('many'), limit_of('9999')
+    >>> parse_limit('5'), parse_limit('many'), parse_limit('9999')
     (5, 100, 100)
     """
     return min(int(text), LIST_LIMIT) if text.isdecimal() else LIST_LIMIT
@@ -147,16 +149,22 @@
     organisation: str,
     max_file_bytes: int,
 ) -> Response:
-    """Store the file of a multipart upload."""
-    announced = request.headers.get('content-length', '')
-    if not announced.isdecimal():
+    """Store the file of a multipart upload; return its document or an error.
+
+    Rejects a request without a Content-Length, one over the size limit, and a
+    form without the file or with another purpose.
+    """
+    content_length = request.headers.get('content-length', '')
+    if not content_length.isdecimal():
         return error_response(
             JobError(
-                LENGTH_REQUIRED, 'length_required', 'send a Content-Length'
+                LENGTH_REQUIRED,
+                'length_required',
+                "the Content-Length header is missing or isn't a number",
             ),
         )
-    if int(announced) > max_file_bytes:
-        message = f'the file is over {max_file_bytes} bytes'
+    if int(content_length) > max_file_bytes:
+        message = f'the upload is larger than {max_file_bytes} bytes'
         return error_response(JobError(errors.TOO_LARGE, 'too_large', message))
     async with request.form(max_files=1, max_fields=4) as form:
         upload = form.get('file')
@@ -165,7 +173,7 @@
                 JobError(
                     errors.BAD_REQUEST,
                     'invalid_upload',
-                    "needs a field 'file' and purpose 'batch'",
+                    "the form must have a file 'file' and purpose 'batch'",
                 ),
             )
         stored = await service.store_file(
@@ -174,15 +182,19 @@
             upload.file,
             upload.size or 0,
         )
-    return respond(stored.map(file_document))
+    return document_response(stored.map(file_document))
 
 
-async def open_lines(
+async def file_content(
     service: JobService,
     organisation: str,
     file_id: str,
 ) -> Result[AsyncIterator[bytes], JobError]:
-    """Return the lines of an uploaded file or of a job's results."""
+    """Return the lines of an uploaded file, or of a job's results or errors.
+
+    The prefix of the file id tells which. Fails if there is no such file or
+    the store can't be read.
+    """
     for prefix, failed in ((OUTPUT_PREFIX, False), (ERRORS_PREFIX, True)):
         if file_id.startswith(prefix):
             job_id = file_id.removeprefix(prefix)
@@ -190,12 +202,12 @@
     return await service.file_lines(organisation, file_id)
 
 
-def job_request(
+def parse_job_request(
     raw: bytes,
     request: Request,
     organisation: str,
 ) -> Result[JobRequest, JobError]:
-    """Validate the body of a request for a job."""
+    """Return the job request in a body, or an error that names each fault."""
     try:
         body = JobBody.model_validate_json(raw)
     except ModelError as exc:
@@ -219,22 +231,25 @@
     )
 
 
-def respond(outcome: Result[dict[str, object], JobError]) -> Response:
-    """Return a document or the error."""
+def document_response(outcome: Result[dict[str, object], JobError]) -> Response:
+    """Return a response with the document or the error."""
     if isinstance(outcome, Err):
         return error_response(outcome.err_value)
     return JSONResponse(outcome.ok_value)
 
 
-def stream(outcome: Result[AsyncIterator[bytes], JobError]) -> Response:
-    """Return lines or the error."""
+def lines_response(outcome: Result[AsyncIterator[bytes], JobError]) -> Response:
+    """Return a response that streams the lines, or one with the error."""
     if isinstance(outcome, Err):
         return error_response(outcome.err_value)
     return StreamingResponse(outcome.ok_value, media_type=JSON_LINES)
 
 
 def error_response(error: JobError) -> Response:
-    """Return an error in the usual shape with `ran`."""
+    """Return an error in the API's format.
+
+    `ran` says whether the request may have taken effect.
+    """
     fault = error.status >= SERVER_FAULT
     document = {
         'message': error.message,
@@ -255,18 +270,18 @@
 
 
 def refusal_response(refusal: Refusal, request: Request) -> Response:
-    """Return the response of a refusal by the callers' gate."""
+    """Return the response for a request whose body was refused."""
     request_id = str(getattr(request.state, 'request_id', ''))
     return JSONResponse(refusal.body(request_id), refusal.status)
 
 
 def seconds_or_none(at_ms: int) -> int | None:
-    """Return a time in seconds; None for a time that has not come."""
+    """Return a time in seconds, or None for 0, which means not yet set."""
     return at_ms // MS_IN_S if at_ms else None
 
 
 def file_document(record: FileRecord) -> dict[str, object]:
-    """Return a file in the usual shape."""
+    """Return the API document of a file."""
     return {
         'id': record.file_id,
         'object': 'file',
@@ -279,13 +294,13 @@
 
 
 def list_document(listed: list[JobStatus]) -> dict[str, object]:
-    """Return a list of jobs in the usual shape."""
+    """Return the API document of a list of jobs."""
     documents = [job_document(status) for status in listed]
     return {'object': 'list', 'data': documents, 'has_more': False}
 
 
 def job_document(status: JobStatus) -> dict[str, object]:
-    """Return a job in the usual shape, with deadline, estimate and risk."""
+    """Return the API document of a job, with deadline, estimate and risk."""
     job = status.job
     ended = job.finished_ms > 0
     return {
@@ -321,7 +336,7 @@
 def request_counts(status: JobStatus) -> dict[str, int]:
     """Return the counts of a job's items.
 
-    While the job runs they are those of the latest written figures.
+    While the job runs they come from the progress figures last written.
     """
     job = status.job
     completed, failed = job.completed, job.failed
