--- a/src/quetzaldyke/process/batch_claims.py
+++ b/src/quetzaldyke/process/batch_claims.py
@@ -1,4 +1,4 @@
-"""Claims offered segments, also those of owners that are gone."""
+"""Claims offered segments, and takes them over from owners that are gone."""
 
 from __future__ import annotations
 
@@ -14,52 +14,57 @@
 from quetzaldyke.process.batch_state import OwnedSegment
 from quetzaldyke.process.fleet import Fleet
 
-# An owner without a connection for this long counts as gone. A connection
-# that only broke is back within a second.
-OWNER_ABSENT_S: Final = 4.0
+# An owner that was disconnected for this long counts as gone. A connection that
+# only broke is restored within a second.
+OWNER_DISCONNECT_TIMEOUT_S: Final = 4.0
 
-# `taken`: the record has another owner or is closed.
+# `taken`: the record has another owner or is closed. `not_ready`: the job isn't
+# in progress, or its records can't be read or written now.
 ClaimFailure = Literal['taken', 'not_ready']
 
 
 @dataclass(slots=True)
-class Claims:
-    """Claims of one entry."""
+class SegmentClaimer:
+    """Claims segments for one entry."""
 
     store: KeyValueStore
     fleet: Fleet
     now_s: Callable[[], float]
-    # Live entries without a connection, and since when.
-    absent: dict[str, float] = field(default_factory=dict)
+    # Live entries without a connection, with the time of the disconnection.
+    disconnected_since: dict[str, float] = field(default_factory=dict)
 
-    def note_absent(self) -> None:
-        """Note which entries of the list are not connected."""
+    def update_disconnected(self) -> None:
+        """Record which live entries are disconnected, and since when."""
         now_s = self.now_s()
-        missing = set(self.fleet.live_entries()) - set(self.fleet.entries)
-        for name in list(self.absent):
-            if name not in missing:
-                self.absent.pop(name)
-        for name in missing:
-            self.absent.setdefault(name, now_s)
+        disconnected = set(self.fleet.live_entries()) - set(self.fleet.entries)
+        for name in list(self.disconnected_since):
+            if name not in disconnected:
+                self.disconnected_since.pop(name)
+        for name in disconnected:
+            self.disconnected_since.setdefault(name, now_s)
 
     def may_take_from(self, owner: str) -> bool:
-        """Tell whether another owner has left.
+        """Return whether a segment may be claimed from this owner.
 
-        An owner that lost its connection may only be paused; it can't write
-        any more after the claim.
+        True if the owner is this entry, is no longer listed as live, or was
+        disconnected for too long. A disconnected owner may only be paused:
+        after the claim its writes are rejected.
         """
         if owner == self.fleet.own.instance:
             return True
         if owner not in self.fleet.live_entries():
             return True
-        since_s = self.absent.get(owner)
-        return since_s is not None and self.now_s() - since_s >= OWNER_ABSENT_S
+        since_s = self.disconnected_since.get(owner)
+        return (
+            since_s is not None
+            and self.now_s() - since_s >= OWNER_DISCONNECT_TIMEOUT_S
+        )
 
     async def claim(
         self,
         offer: SegmentOffer,
     ) -> Result[OwnedSegment, ClaimFailure]:
-        """Read what a segment needs, then become its owner."""
+        """Read a segment's job and items, then become its owner."""
         found = await jobs.read_job(
             self.store,
             offer.organisation,
--- a/src/quetzaldyke/process/batch_commit.py
+++ b/src/quetzaldyke/process/batch_commit.py
@@ -1,4 +1,4 @@
-"""Records the results that an owner holds, and gives segments up."""
+"""Writes the held results of segments to the store and releases segments."""
 
 from __future__ import annotations
 
@@ -11,34 +11,37 @@
 from quetzaldyke.durable import progress
 from quetzaldyke.durable.records import Progress
 from quetzaldyke.parts.kv import KeyValueStore, KvError, Refused
-from quetzaldyke.process.batch_state import COMMIT_RETRY_S, OwnedSegment
+from quetzaldyke.process.batch_state import COMMIT_RETRY_DELAY_S, OwnedSegment
 
-# `open` and `done` tell the state after the commit; `lost` means that the
-# segment belongs to another owner or is closed; `retry` that the store did
-# not answer and the results stay held.
+# `open` and `done` are the segment's state after the commit. `lost` means that
+# it belongs to another owner or is closed, `retry` that the store call failed
+# and the results stay held.
 CommitOutcome = Literal['open', 'done', 'lost', 'retry']
 
 
 @dataclass(frozen=True, slots=True)
 class Committer:
-    """What commits need."""
+    """Commits results and releases segments of one entry."""
 
     store: KeyValueStore
     now_s: Callable[[], float]
 
     async def commit(self, segment: OwnedSegment) -> CommitOutcome:
-        """Record the held results of a segment."""
+        """Record the held results of a segment.
+
+        After the outcome `retry` the next commit waits for a delay.
+        """
         segment.committing = True
         try:
             outcome = await self.commit_held(segment)
         finally:
             segment.committing = False
         if outcome == 'retry':
-            segment.retry_at_s = self.now_s() + COMMIT_RETRY_S
+            segment.retry_at_s = self.now_s() + COMMIT_RETRY_DELAY_S
         return outcome
 
     async def commit_held(self, segment: OwnedSegment) -> CommitOutcome:
-        """Commit on the known record, and settle what the store says."""
+        """Write the held results on top of the last known record."""
         base = segment.progress
         segment.commits += 1
         written = await progress.commit(
@@ -50,26 +53,26 @@
             dict(segment.tries),
             f'{base.epoch}.{segment.commits}',
         )
-        return await self.settle(segment, written)
+        return await self.apply_write(segment, written)
 
-    async def settle(
+    async def apply_write(
         self,
         segment: OwnedSegment,
         written: Result[Progress, KvError | Refused[str]],
     ) -> CommitOutcome:
-        """Adopt the outcome of a write."""
+        """Return the outcome of a write and adopt the new record."""
         if isinstance(written, Ok):
-            segment.settle(written.ok_value, self.now_s())
+            segment.adopt_progress(written.ok_value, self.now_s())
             return 'done' if written.ok_value.state == 'done' else 'open'
         if written.err_value == progress.LOST:
             return 'lost'
         if written.err_value == progress.STALE:
-            # An earlier write whose answer was lost has taken effect.
+            # An earlier write whose response was lost has taken effect.
             return await self.confirm(segment)
         return 'retry'
 
     async def confirm(self, segment: OwnedSegment) -> CommitOutcome:
-        """Read the record again and tell whether it is still owned."""
+        """Read the record again; return whether the segment is still owned."""
         found = await progress.read_progress(
             self.store,
             segment.job.job_id,
@@ -77,19 +80,22 @@
         )
         if isinstance(found, Err):
             return 'retry'
-        known = found.ok_value
-        if known is None:
+        record = found.ok_value
+        if record is None:
             return 'lost'
-        if known.state == 'done' and known.owner == segment.progress.owner:
-            return 'done' if known.epoch == segment.progress.epoch else 'lost'
-        if not progress.holds(known, segment.progress):
+        if record.state == 'done' and record.owner == segment.progress.owner:
+            return 'done' if record.epoch == segment.progress.epoch else 'lost'
+        if not progress.holds(record, segment.progress):
             return 'lost'
-        segment.settle(known, self.now_s())
+        segment.adopt_progress(record, self.now_s())
         segment.confirmed = True
         return 'open'
 
     async def release(self, segment: OwnedSegment) -> bool:
-        """Give a segment up; False when the store did not answer."""
+        """Release a segment; return False when the store call failed.
+
+        True also for a segment that was lost already.
+        """
         released = await progress.release(
             self.store,
             segment.job.job_id,
--- a/src/quetzaldyke/process/batch_demand.py
+++ b/src/quetzaldyke/process/batch_demand.py
@@ -1,7 +1,8 @@
-"""Tells sidecars which items wait here, with few messages.
+"""Sends the demand for batch items to sidecars, with few messages.
 
-A sidecar counts its demand down by what it grants. A demand is sent again
-when the sidecar may have run out, asks for too much, or after a while.
+A sidecar subtracts the items that it grants from the demand. A demand is sent
+again when the sidecar's remaining count is low or far too high, when the job's
+slack has changed, and at a regular interval.
 """
 
 from __future__ import annotations
@@ -14,13 +15,13 @@
 from quetzaldyke.connection.peer import PeerSession
 from quetzaldyke.version.configuration import Configuration
 
-# A demand is renewed after this time, because a sidecar forgets one whose
-# grant was not used.
-RENEW_S: Final = 2.0
-# Below this rest at a sidecar more items are announced.
-LOW_REST: Final = 16
-# A change of the slack by less does not change the order of jobs.
-SLACK_CHANGE_S: Final = 30.0
+# A demand is sent again after this time, because a sidecar drops a demand whose
+# grant expired unused.
+RENEW_INTERVAL_S: Final = 2.0
+# A demand is sent again when fewer items than this remain at the sidecar.
+LOW_REMAINING: Final = 16
+# A smaller change of the slack doesn't change the order of jobs.
+MIN_SLACK_CHANGE_S: Final = 30.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,47 +36,47 @@
 
 
 @dataclass(slots=True)
-class Announced:
-    """What one sidecar was last told of one job."""
+class SentDemand:
+    """The last demand for one job that one sidecar was sent."""
 
     demand: JobDemand
-    rest: int
+    remaining: int
     sent_s: float
 
-    def outdated(self, latest: JobDemand, now_s: float) -> bool:
-        """Tell whether the sidecar needs the latest demand."""
+    def is_outdated(self, latest: JobDemand, now_s: float) -> bool:
+        """Return whether the sidecar must be sent the latest demand."""
         if not latest.count:
-            return self.rest > 0
-        if self.rest < min(latest.count, LOW_REST):
+            return self.remaining > 0
+        if self.remaining < min(latest.count, LOW_REMAINING):
             return True
-        if self.rest > 2 * latest.count:
+        if self.remaining > 2 * latest.count:
             return True
         changed_s = abs(latest.slack_s - self.demand.slack_s)
-        if changed_s >= SLACK_CHANGE_S:
+        if changed_s >= MIN_SLACK_CHANGE_S:
             return True
-        return now_s - self.sent_s >= RENEW_S
+        return now_s - self.sent_s >= RENEW_INTERVAL_S
 
 
 @dataclass(slots=True)
-class DemandBook:
-    """Demands that were sent, by session and job."""
+class SentDemands:
+    """The last demand that was sent, by session and job."""
 
-    announced: dict[tuple[int, str], Announced] = field(default_factory=dict)
+    sent: dict[tuple[int, str], SentDemand] = field(default_factory=dict)
 
-    def announce(
+    def send_if_outdated(
         self,
         session: PeerSession,
         latest: JobDemand,
         now_s: float,
     ) -> None:
-        """Send a demand if the sidecar's knowledge of it is outdated."""
+        """Send a demand unless the last one that was sent is still valid."""
         key = (id(session), latest.job_id)
-        known = self.announced.get(key)
-        if known is None and not latest.count:
+        previous = self.sent.get(key)
+        if previous is None and not latest.count:
             return
-        if known is not None and not known.outdated(latest, now_s):
+        if previous is not None and not previous.is_outdated(latest, now_s):
             return
-        self.announced[key] = Announced(latest, latest.count, now_s)
+        self.sent[key] = SentDemand(latest, latest.count, now_s)
         session.send(
             BatchDemand(
                 latest.pool,
@@ -86,38 +87,46 @@
             ),
         )
 
-    def withdraw(self, session: PeerSession, grant: BatchGrant) -> None:
-        """Give a grant back that can't be used now."""
-        known = self.announced.pop((id(session), grant.job_id), None)
-        organisation = known.demand.organisation if known else ''
+    def return_grant(self, session: PeerSession, grant: BatchGrant) -> None:
+        """Return a grant that can't be used, by a demand for no items.
+
+        The organisation is left empty when no demand for the job is known.
+        """
+        previous = self.sent.pop((id(session), grant.job_id), None)
+        organisation = previous.demand.organisation if previous else ''
         session.send(
             BatchDemand(grant.pool, organisation, grant.job_id, 0, 0),
         )
 
-    def granted(self, session: PeerSession, grant: BatchGrant) -> None:
-        """Count a grant off the announced items."""
-        known = self.announced.get((id(session), grant.job_id))
-        if known is not None:
-            known.rest = max(0, known.rest - grant.count)
+    def subtract_grant(self, session: PeerSession, grant: BatchGrant) -> None:
+        """Subtract a grant from the items that remain at the sidecar."""
+        previous = self.sent.get((id(session), grant.job_id))
+        if previous is not None:
+            previous.remaining = max(0, previous.remaining - grant.count)
 
-    def refused(self, session: PeerSession, job_id: str) -> None:
-        """Announce again soon, because a start was refused."""
-        self.announced.pop((id(session), job_id), None)
+    def resend_soon(self, session: PeerSession, job_id: str) -> None:
+        """Have a job's demand sent again, after the sidecar refused a start."""
+        self.sent.pop((id(session), job_id), None)
 
-    def keep_only(self, sessions: Iterable[PeerSession]) -> None:
-        """Forget sessions that have ended."""
+    def keep_sessions(self, sessions: Iterable[PeerSession]) -> None:
+        """Forget the demands sent over sessions that have ended."""
         alive = {id(session) for session in sessions}
-        for key in list(self.announced):
+        for key in list(self.sent):
             if key[0] not in alive:
-                self.announced.pop(key)
+                self.sent.pop(key)
 
 
-def lenders_of(
+def pools_for_batch(
     configuration: Configuration,
     pool: str,
     at_risk: bool,
 ) -> list[str]:
-    """Return the pools whose endpoints may run a pool's batch items now."""
+    """Return the pools whose endpoints may run a pool's batch items.
+
+    These are the pool itself and the pools that lend to it for batch work and
+    serve the same model. A rule with `when: at_risk` counts only for a job at
+    risk.
+    """
     own = configuration.pools.get(pool)
     if own is None:
         return [pool]
@@ -133,7 +142,7 @@
 
 
 def same_model(configuration: Configuration, left: str, right: str) -> bool:
-    """Tell whether two pools serve the same model and version.
+    """Return whether two pools serve the same model and version.
 
     A pool without a model name serves the model of its own name.
     """
--- a/src/quetzaldyke/process/batch_guard.py
+++ b/src/quetzaldyke/process/batch_guard.py
@@ -1,4 +1,4 @@
-"""Runs background work whose faults must not end the entry."""
+"""Runs background tasks whose exceptions must not stop the entry."""
 
 from __future__ import annotations
 
@@ -7,12 +7,15 @@
 from quetzaldyke.process.logs import LogEvent
 
 
-async def guarded(
+async def run_guarded(
     log_event: LogEvent,
     name: str,
     run: Callable[[], Awaitable[None]],
 ) -> None:
-    """Run a task of the entry's group and log a fault instead of raising."""
+    """Run a task; log an exception instead of raising it.
+
+    An exception would cancel the entry's whole task group.
+    """
     try:
         await run()
     except Exception as exc:
--- a/src/quetzaldyke/process/batch_items.py
+++ b/src/quetzaldyke/process/batch_items.py
@@ -1,4 +1,4 @@
-"""Runs one batch item at one endpoint and judges its outcome."""
+"""Runs one batch item at one endpoint and returns the result to record."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from quetzaldyke.process.batch_state import OwnedSegment, Partial
 from quetzaldyke.process.fleet import SidecarLink
 
-# Longest run of one item at one endpoint.
+# Time limit of one attempt of an item at one endpoint.
 ITEM_TIMEOUT_MS: Final = 600_000
 MAX_RESULT_BYTES: Final = 800_000
 BAD_REQUEST: Final = 400
@@ -23,15 +23,15 @@
 REQUEST_ID_BYTES: Final = 4
 CHAT_PATH: Final = '/v1/chat/completions'
 CRASHES_ENDPOINTS: Final = 'crashes_endpoints'
-# Ends that say nothing about the item; they don't count as a try.
-NOT_A_TRY: Final = frozenset(('preempted', 'job_cancelled', 'leaving'))
+# Failure reasons that don't count as a try, because the item didn't cause them.
+UNCOUNTED_REASONS: Final = frozenset(('preempted', 'job_cancelled', 'leaving'))
 
 RunOn = Callable[[SidecarLink, Submit], AsyncIterator[CallEvent]]
 
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """One start of an item."""
+    """One run of an item at an endpoint that granted it."""
 
     segment: OwnedSegment
     index: int
@@ -40,12 +40,15 @@
     fingerprint: str
 
     @property
-    def tries(self) -> int:
-        """Return the number of this try."""
+    def try_number(self) -> int:
+        """Return one more than the item's failed tries so far."""
         return self.segment.tries.get(self.index, 0) + 1
 
     def submit(self, request_id: str) -> Submit:
-        """Return the message that starts the item."""
+        """Return the message that starts the item.
+
+        Text of an interrupted attempt goes along, to be continued.
+        """
         item = self.segment.items[self.index]
         partial = self.segment.partials.get(self.index, Partial('', 0))
         job = self.segment.job
@@ -66,53 +69,53 @@
             resume_tokens=partial.tokens,
             grant_id=self.grant_id,
             job_id=job.job_id,
-            attempt=self.tries,
+            attempt=self.try_number,
         )
 
 
 def request_id_of(attempt: Attempt) -> str:
-    """Return the id of an attempt; every attempt has another one."""
+    """Return a new request id for an attempt, with a random suffix."""
     segment = attempt.segment
     token = secrets.token_hex(REQUEST_ID_BYTES)
     return f'{segment.job.job_id}-{segment.number}-{attempt.index}-{token}'
 
 
 @dataclass(slots=True)
-class Received:
-    """What one attempt has produced; text goes on after `resumed`."""
+class AttemptOutput:
+    """Output of one attempt; its text continues that of `resumed`."""
 
     resumed: Partial
-    texts: list[str] = field(default_factory=list)
-    raws: list[bytes] = field(default_factory=list)
+    text_parts: list[str] = field(default_factory=list)
+    raw_parts: list[bytes] = field(default_factory=list)
     tokens: int = 0
     last: End | Failed | None = None
 
     @property
     def text(self) -> str:
-        """Return the text of this attempt."""
-        return ''.join(self.texts)
+        """Return the text that this attempt generated."""
+        return ''.join(self.text_parts)
 
     def add(self, event: CallEvent) -> None:
-        """Take one event."""
+        """Add the content of a chunk, or keep the attempt's last event."""
         match event:
             case Chunk():
-                self.texts.append(event.text)
-                self.raws.append(event.raw)
+                self.text_parts.append(event.text)
+                self.raw_parts.append(event.raw)
                 self.tokens += event.tokens
             case End() | Failed():
                 self.last = event
 
     @property
     def interrupted(self) -> bool:
-        """Tell whether the attempt was stopped through no fault of its own."""
+        """Return whether the attempt was stopped for no fault of the item."""
         last = self.last
-        return isinstance(last, Failed) and last.reason in NOT_A_TRY
+        return isinstance(last, Failed) and last.reason in UNCOUNTED_REASONS
 
     def partial(self) -> Partial:
-        """Return the whole text so far, to be continued elsewhere.
+        """Return the whole text so far, so that another attempt continues it.
 
-        The failure carries the text of the attempt, of which chunks on the
-        way may be missing here; the longer one is the later one.
+        A failure carries the attempt's text, because chunks may have been lost
+        on the way. Of the two texts the longer one is the more recent.
         """
         text, tokens = self.text, self.tokens
         failed = self.last
@@ -124,35 +127,39 @@
         )
 
 
-async def receive(
+async def collect_output(
     run: RunOn,
     attempt: Attempt,
     submit: Submit,
-) -> Received:
-    """Run an attempt to its last event."""
+) -> AttemptOutput:
+    """Run an attempt to its last event; return its output."""
     resumed = Partial(submit.resume_text, submit.resume_tokens)
-    received = Received(resumed)
+    output = AttemptOutput(resumed)
     events = run(attempt.link, submit)
     async with aclosing(events) as open_events:  # type: ignore[type-var]
         async for event in open_events:
-            received.add(event)
-    return received
+            output.add(event)
+    return output
 
 
-def judge(
+def result_of(
     attempt: Attempt,
-    received: Received,
+    output: AttemptOutput,
     max_tries: int,
     now_ms: int,
 ) -> ItemResult | None:
-    """Return the result to record, or None when the item must run again."""
-    match received.last:
+    """Return the result to record, or None when the item must run again.
+
+    A status below 400 is a success, one from 400 to 499 an invalid item. Any
+    other end counts as a try, unless the item didn't run or was interrupted.
+    """
+    match output.last:
         case End(status=status) if status < BAD_REQUEST:
-            return success(attempt, received, received.last, now_ms)
+            return completed_result(attempt, output, output.last, now_ms)
         case End(status=status) if status < SERVER_FAULT:
-            return refused(attempt, received.last, now_ms)
+            return rejected_result(attempt, output.last, now_ms)
         case Failed(reason='crashes_endpoints'):
-            return failure(
+            return failed_result(
                 attempt,
                 CRASHES_ENDPOINTS,
                 'the request crashes the endpoints that run it',
@@ -160,11 +167,11 @@
             )
         case Failed(ran='not_run'):
             return None
-        case Failed(reason=reason) if reason in NOT_A_TRY:
+        case Failed(reason=reason) if reason in UNCOUNTED_REASONS:
             return None
     return count_try(
         attempt,
-        failure_reason(received.last),
+        failure_reason(output.last),
         max_tries,
         now_ms,
     )
@@ -176,15 +183,15 @@
     max_tries: int,
     now_ms: int,
 ) -> ItemResult | None:
-    """Count a failed try; return the result of the last allowed one."""
-    if attempt.tries >= max_tries:
-        return failure(attempt, 'too_many_tries', reason, now_ms)
-    attempt.segment.tries[attempt.index] = attempt.tries
+    """Count a failed try; return a result only for the last allowed one."""
+    if attempt.try_number >= max_tries:
+        return failed_result(attempt, 'too_many_tries', reason, now_ms)
+    attempt.segment.tries[attempt.index] = attempt.try_number
     return None
 
 
 def failure_reason(last: End | Failed | None) -> str:
-    """Return the reason of an attempt that counts as a try."""
+    """Return why an attempt failed, as text for the item's record."""
     if isinstance(last, Failed):
         return last.reason
     if isinstance(last, End):
@@ -192,41 +199,41 @@
     return 'the answer ended without its end mark'
 
 
-def failure(
+def failed_result(
     attempt: Attempt,
     code: str,
     reason: str,
     now_ms: int,
 ) -> ItemResult:
-    """Return the record of an item that can't be done."""
+    """Return the record of an item that failed for good."""
     return ItemResult(
         attempt.index,
         0,
         b'',
         code,
         reason,
-        attempt.tries,
+        attempt.try_number,
         attempt.link.instance.instance,
         now_ms,
     )
 
 
-def refused(attempt: Attempt, end: End, now_ms: int) -> ItemResult:
-    """Return the record of an item that the engine finds invalid."""
+def rejected_result(attempt: Attempt, end: End, now_ms: int) -> ItemResult:
+    """Return the record of an item that the engine rejected as invalid."""
     return ItemResult(
         attempt.index,
         end.status,
         json_body(end.body),
         'invalid_item',
         f'the endpoint answered with status {end.status}',
-        attempt.tries,
+        attempt.try_number,
         attempt.link.instance.instance,
         now_ms,
     )
 
 
 def json_body(raw: bytes) -> bytes:
-    """Return a body that is one JSON value in one line."""
+    """Return a body as JSON on one line; other text becomes a JSON string."""
     try:
         parsed = json.loads(raw)
     except ValueError:
@@ -234,16 +241,19 @@
     return json.dumps(parsed, separators=(',', ':')).encode()
 
 
-def success(
+def completed_result(
     attempt: Attempt,
-    received: Received,
+    output: AttemptOutput,
     end: End,
     now_ms: int,
 ) -> ItemResult:
-    """Return the record of a whole answer."""
-    body = answer_body(attempt, received, end)
+    """Return the record of a complete response.
+
+    A response over the size limit is recorded as a failure instead.
+    """
+    body = response_body(attempt, output, end)
     if len(body) > MAX_RESULT_BYTES:
-        return failure(
+        return failed_result(
             attempt,
             'result_too_large',
             f'the result has {len(body)} bytes',
@@ -253,19 +263,22 @@
         attempt.index,
         end.status,
         body,
-        tries=attempt.tries,
+        tries=attempt.try_number,
         endpoint=attempt.link.instance.instance,
         finished_ms=now_ms,
     )
 
 
-def answer_body(attempt: Attempt, received: Received, end: End) -> bytes:
-    """Return the answer in the usual shape of its path."""
-    raw = b''.join((*received.raws, end.body))
+def response_body(attempt: Attempt, output: AttemptOutput, end: End) -> bytes:
+    """Return the response body, in the API's format for the item's path.
+
+    A body that the endpoint sent itself is kept as it is.
+    """
+    raw = b''.join((*output.raw_parts, end.body))
     if raw:
         return json_body(raw)
     item = attempt.segment.items[attempt.index]
-    text = f'{received.resumed.text}{received.text}'
+    text = f'{output.resumed.text}{output.text}'
     choice: dict[str, object] = {'index': 0}
     if item.url == CHAT_PATH:
         choice['message'] = {'role': 'assistant', 'content': text}
--- a/src/quetzaldyke/process/batch_part.py
+++ b/src/quetzaldyke/process/batch_part.py
@@ -1,4 +1,4 @@
-"""Plugs batch work into an entry: routes, timers and the planned stop."""
+"""Adds batch work to an entry: HTTP routes, timers and shutdown."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 if TYPE_CHECKING:
     from quetzaldyke.process.entry import EntryProcess
 
-ALIVE_INTERVAL_S: Final = 0.1
+TICK_INTERVAL_S: Final = 0.1
 COMMIT_INTERVAL_S: Final = 0.1
 DEMAND_INTERVAL_S: Final = 0.25
 CONFIRM_INTERVAL_S: Final = 0.5
 OFFER_INTERVAL_S: Final = 2.0
 SWEEP_INTERVAL_S: Final = 600.0
-# A short retention is swept this many times within it.
-SWEEPS_IN_RETENTION: Final = 20
+# With a short retention, expired records are swept this many times within it.
+SWEEPS_PER_RETENTION: Final = 20
 
 
 @dataclass(slots=True)
 class BatchParts:
-    """Batch work of one entry; kept at `entry.jobs`."""
+    """Objects for the batch work of one entry; stored in `entry.jobs`."""
 
     service: JobService
     worker: BatchWorker
@@ -44,7 +44,10 @@
 
 
 def build(entry: EntryProcess) -> BatchParts:
-    """Build the batch parts of an entry that has its group and links."""
+    """Create the batch objects and subscribe them to messages.
+
+    The entry must have its task group and its fleet.
+    """
     assert entry.group is not None
     settings = entry.settings
     worker = BatchWorker(
@@ -63,30 +66,30 @@
         entry.config,
         settings.max_body_bytes,
         stop_everywhere=stopper.stop_everywhere,
-        on_accepted=coordinator.offer_new,
+        on_accepted=coordinator.offer_new_job,
     )
     worker.subscribe()
     coordinator.subscribe()
     stopper.subscribe()
-    batch_stop.subscribe_stops(worker)
+    batch_stop.subscribe_cancels(worker)
     return BatchParts(service, worker, coordinator)
 
 
 def make_stopper(entry: EntryProcess, worker: BatchWorker) -> JobStopper:
-    """Return what sends cancels, also to sidecars outside the subset."""
+    """Return a stopper that also reaches sidecars outside the subset."""
     return JobStopper(
         worker, make_reach(entry.fleet, lambda: entry.link_options)
     )
 
 
 async def start(entry: EntryProcess) -> None:
-    """Start the batch work of an entry."""
+    """Create the batch objects of an entry and start their timers."""
     parts = build(entry)
     entry.jobs = parts
     worker = parts.worker
 
-    async def stay_alive() -> None:
-        batch_stop.note_tick(worker)
+    async def record_tick() -> None:
+        batch_stop.record_tick(worker)
         worker.stopping = worker.stopping or entry.stopping.is_set()
 
     async def send_demands() -> None:
@@ -100,20 +103,25 @@
 
     retention_s = entry.settings.retention_s
     timers = entry.timers
-    timers.subscribe('batch_alive', ALIVE_INTERVAL_S, stay_alive)
+    timers.subscribe('batch_alive', TICK_INTERVAL_S, record_tick)
     timers.subscribe('batch_commit', COMMIT_INTERVAL_S, worker.commit_due)
     timers.subscribe('batch_demand', DEMAND_INTERVAL_S, send_demands)
     timers.subscribe('batch_confirm', CONFIRM_INTERVAL_S, confirm)
-    timers.subscribe('batch_offer', OFFER_INTERVAL_S, parts.coordinator.round)
+    timers.subscribe(
+        'batch_offer', OFFER_INTERVAL_S, parts.coordinator.run_round
+    )
     timers.subscribe(
         'batch_sweep',
-        min(SWEEP_INTERVAL_S, retention_s / SWEEPS_IN_RETENTION),
+        min(SWEEP_INTERVAL_S, retention_s / SWEEPS_PER_RETENTION),
         sweep_expired,
     )
 
 
 async def sweep_if_first(entry: EntryProcess) -> None:
-    """Delete what is past its retention, at one entry of the fleet."""
+    """Delete records past their retention, if this entry ranks first.
+
+    Only one entry of the fleet sweeps.
+    """
     first = first_for(entry.fleet.live_entries(), 'retention')
     if first != entry.settings.instance:
         return
@@ -127,18 +135,22 @@
 
 
 async def stop(entry: EntryProcess) -> None:
-    """Record held results and release the segments."""
+    """Finish running items, record results and release the segments."""
     await batch_stop.stop_worker(parts_of(entry).worker)
 
 
 def parts_of(entry: EntryProcess) -> BatchParts:
-    """Return the batch parts of a started entry."""
+    """Return the batch objects of a started entry."""
     assert isinstance(entry.jobs, BatchParts)
     return entry.jobs
 
 
 def caller_routes(entry: EntryProcess) -> Sequence[BaseRoute]:
-    """Return the routes; the gate has found the organisation."""
+    """Return the batch routes.
+
+    The gate that authenticates callers has stored the organisation in the
+    request's state.
+    """
 
     def organisation_of(request: Request) -> str | Response:
         return str(request.state.organisation)
--- a/src/quetzaldyke/process/batch_state.py
+++ b/src/quetzaldyke/process/batch_state.py
@@ -1,4 +1,4 @@
-"""State of the segments that an entry owns."""
+"""State of the segments that an entry owns: queued items and held results."""
 
 from __future__ import annotations
 
@@ -13,22 +13,23 @@
 from quetzaldyke.durable.inputs import Item
 from quetzaldyke.durable.records import ItemResult, JobRecord, Progress
 
-# A commit is due with this many results, so that an item costs at most a
-# hundredth of a write at full speed.
-FULL_COMMIT: Final = 100
-# With fewer results than this a commit waits longer.
-SMALL_COMMIT: Final = 20
-COMMIT_WAIT_S: Final = 2.0
-LONGEST_COMMIT_WAIT_S: Final = 5.0
-# Pause after a failed commit, so that an outage is not met with load.
-COMMIT_RETRY_S: Final = 1.0
+# A commit is due at once with this many results, so that an item costs at most
+# a hundredth of a write at full speed.
+FULL_COMMIT_RESULTS: Final = 100
+# A commit of at least this many results waits for the short delay, a smaller
+# one for the maximum delay.
+SMALL_COMMIT_RESULTS: Final = 20
+COMMIT_DELAY_S: Final = 2.0
+MAX_COMMIT_DELAY_S: Final = 5.0
+# Delay after a failed commit, so that retries don't load a store in an outage.
+COMMIT_RETRY_DELAY_S: Final = 1.0
 
 SegmentId = tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
 class Partial:
-    """Text of an item that was interrupted, to be continued."""
+    """Text of an interrupted item, which the next attempt continues."""
 
     text: str
     tokens: int
@@ -36,14 +37,17 @@
 
 @dataclass(slots=True)
 class OwnedSegment:
-    """A claimed segment: what waits, runs and is not recorded yet."""
+    """A claimed segment: its waiting and running items and held results.
+
+    A result is held until it is recorded in the store.
+    """
 
     job: JobRecord
     number: int
-    # The record as this owner last wrote or read it.
+    # The record, as this owner last wrote or read it.
     progress: Progress
     items: list[Item]
-    # Slack of the job as the coordinator last told it.
+    # The job's slack from the coordinator's last offer.
     slack_s: float = 0.0
     waiting: deque[int] = field(default_factory=deque)
     running: dict[int, anyio.CancelScope] = field(default_factory=dict)
@@ -54,7 +58,7 @@
     retry_at_s: float = 0.0
     commits: int = 0
     committing: bool = False
-    # False after a pause until the record confirms the ownership.
+    # False after a long pause, until the record confirms the ownership.
     confirmed: bool = True
     dropped: bool = False
 
@@ -66,7 +70,7 @@
         progress: Progress,
         items: list[Item],
     ) -> OwnedSegment:
-        """Return a segment whose unfinished items wait."""
+        """Return a segment with all its unfinished items waiting."""
         unfinished = (
             index
             for index in range(progress.total)
@@ -83,16 +87,19 @@
 
     @property
     def segment_id(self) -> SegmentId:
-        """Return the key of the segment in tables."""
+        """Return the job id and the segment's number."""
         return self.job.job_id, self.number
 
     @property
     def held_bytes(self) -> int:
-        """Return the size of the results that are not recorded yet."""
+        """Return the size of the held results."""
         return sum(one.size_bytes for one in self.held.values())
 
-    def hold(self, result: ItemResult, now_s: float) -> None:
-        """Keep the first result of an item until it is recorded."""
+    def hold_result(self, result: ItemResult, now_s: float) -> None:
+        """Hold an item's first result until it is recorded.
+
+        Ignores a result of an item that is recorded or of a dropped segment.
+        """
         if self.dropped or self.progress.is_finished(result.index):
             return
         if not self.held:
@@ -100,24 +107,27 @@
         self.held.setdefault(result.index, result)
 
     def commit_due(self, now_s: float) -> bool:
-        """Tell whether the held results should be recorded now."""
+        """Return whether the held results should be recorded now."""
         if not self.held or self.committing or now_s < self.retry_at_s:
             return False
-        if self.ends_segment or len(self.held) >= FULL_COMMIT:
+        if self.completes_segment or len(self.held) >= FULL_COMMIT_RESULTS:
             return True
         waited_s = now_s - self.first_held_s
-        if len(self.held) >= SMALL_COMMIT and waited_s >= COMMIT_WAIT_S:
+        if (
+            len(self.held) >= SMALL_COMMIT_RESULTS
+            and waited_s >= COMMIT_DELAY_S
+        ):
             return True
-        return waited_s >= LONGEST_COMMIT_WAIT_S
+        return waited_s >= MAX_COMMIT_DELAY_S
 
     @property
-    def ends_segment(self) -> bool:
-        """Tell whether recording the held results finishes the segment."""
+    def completes_segment(self) -> bool:
+        """Return whether recording the held results completes the segment."""
         recorded = self.progress.finished_count + len(self.held)
         return recorded == self.progress.total
 
-    def settle(self, progress: Progress, now_s: float) -> None:
-        """Adopt a newer record and forget the results that it holds."""
+    def adopt_progress(self, progress: Progress, now_s: float) -> None:
+        """Adopt a newer record and release the held results it contains."""
         self.progress = progress
         self.first_held_s = now_s
         for index in list(self.held):
@@ -126,19 +136,19 @@
                 self.tries.pop(index, None)
 
     def drop(self) -> None:
-        """Stop everything of a segment that is no longer owned."""
+        """Cancel the items and discard the held results; ownership ended."""
         self.dropped = True
         self.waiting.clear()
         self.held.clear()
         for scope in list(self.running.values()):
             scope.cancel()
 
-    def put_back(self, index: int, interrupted: bool) -> None:
-        """Let an item wait again.
+    def requeue(self, index: int, interrupted: bool) -> None:
+        """Queue an item again.
 
-        A failed or refused item goes behind the others, so that one that
-        can't run never holds the rest up. An interrupted one goes first,
-        because part of its text is already there.
+        A failed or refused item goes to the end of the queue, so that one that
+        can't run never blocks the others. An interrupted one goes to the
+        front, because part of its text already exists.
         """
         if self.dropped:
             return
@@ -149,7 +159,7 @@
 
 
 def state_of(segment: OwnedSegment) -> SegmentState:
-    """Return what the coordinator of the job's list is told."""
+    """Return the state message for the coordinator of the job's list."""
     record = segment.progress
     return SegmentState(
         segment.job.job_id,
@@ -162,5 +172,5 @@
 
 
 def closed_state(offer: SegmentOffer) -> SegmentState:
-    """Return the answer for a segment that can't be claimed any more."""
+    """Return the reply to an offer of a segment that can't be claimed."""
     return SegmentState(offer.job_id, offer.segment, 'closed', 0, 0, 0)
--- a/tests/test_batch_rules.py
+++ b/tests/test_batch_rules.py
@@ -248,7 +248,7 @@
         await anyio.sleep(3.5)
         if stale == 'ownership':
             # The tick after the pause has run, the records are not read.
-            worker.last_alive_s = anyio.current_time()
+            worker.last_tick_s = anyio.current_time()
             for segment in worker.segments.values():
                 segment.confirmed = False
         link = next(iter(entry.fleet.links.values()))
