--- a/tests/batch_bed.py
+++ b/tests/batch_bed.py
@@ -1,8 +1,8 @@
-"""Entries and sidecars in one event loop with virtual time.
+"""Test bed of entries and sidecars in one event loop with virtual time.
 
-The entries run the real batch part and timers. Sidecars are fakes that
-grant, finish, preempt and break items. Virtual time makes a run short and,
-with its seed, repeatable.
+The entries run the real batch part and timers. The sidecars are fakes that
+grant room and finish, preempt or fail items. Virtual time makes a run short
+and, together with its seed, reproducible.
 """
 
 from __future__ import annotations
@@ -41,12 +41,12 @@
 
 
 class VirtualSelector(selectors.SelectSelector):
-    """Selector that advances the loop's time instead of waiting."""
+    """Selector that advances the virtual time instead of waiting."""
 
     now = 0.0
 
     def select(self, timeout: float | None = None) -> Any:
-        """Return ready files; without any, the wait passes at once."""
+        """Return the ready files; if there are none, advance the time."""
         if timeout is None:
             return super().select(None)
         ready = super().select(0)
@@ -56,7 +56,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Event loop whose time is the selector's."""
+    """Event loop that uses the selector's virtual time."""
 
     def __init__(self) -> None:
         self.virtual = VirtualSelector()
@@ -72,8 +72,8 @@
     return anyio.run(scenario, backend_options={'loop_factory': VirtualLoop})
 
 
-class Wire:
-    """One direction of a connection; delivers in order."""
+class Channel:
+    """One direction of a simulated connection; delivers in order."""
 
     def __init__(self, receive: Any, remote: m.Hello) -> None:
         self.receive = receive
@@ -83,13 +83,13 @@
         self.filled = anyio.Event()
 
     def send(self, message: m.Message) -> None:
-        """Queue a message in its wire form."""
+        """Encode and decode a message, then queue it for delivery."""
         if not self.closed:
             self.queue.append(from_row(to_row(message)))
             self.filled.set()
 
     async def pump(self, gate: Callable[[], anyio.Event | None]) -> None:
-        """Deliver queued messages to a process that may be paused."""
+        """Deliver queued messages; wait while the receiver is paused."""
         while not self.closed:
             await self.filled.wait()
             self.filled = anyio.Event()
@@ -102,12 +102,12 @@
 
 
 def hello(name: str, role: str) -> m.Hello:
-    """Return the Hello of a process."""
+    """Return the Hello message of a process."""
     return m.Hello(1, role, name, 'a', f'{name}-1', POOL)
 
 
-def answer_to(prompt: str) -> list[str]:
-    """Return the tokens of the whole answer to a prompt."""
+def expected_tokens(prompt: str) -> list[str]:
+    """Return the tokens of the complete response to a prompt."""
     return [f' {prompt}.{number}' for number in range(4)]
 
 
@@ -121,17 +121,17 @@
     step_s: float = 0.05
     preempt_rate: float = 0.0
     break_rate: float = 0.0
-    mute: bool = False
+    ignores_cancel: bool = False
     running: dict[str, tuple[str, m.Submit]] = field(default_factory=dict)
     demands: dict[tuple[str, str], m.BatchDemand] = field(default_factory=dict)
     grants: dict[int, tuple[str, str, float]] = field(default_factory=dict)
     cancelled: set[str] = field(default_factory=set)
-    to_entry: dict[str, Wire] = field(default_factory=dict)
+    to_entry: dict[str, Channel] = field(default_factory=dict)
     texts: dict[str, str] = field(default_factory=dict)
     grant_number: int = 0
 
     async def receive(self, entry: str, message: m.Message) -> None:
-        """Handle a message of an entry."""
+        """Handle a message from an entry."""
         match message:
             case m.BatchDemand():
                 self.demands[entry, message.job_id] = message
@@ -139,7 +139,7 @@
                 self.submit(entry, message)
             case m.Cancel():
                 self.running.pop(message.request_id, None)
-            case m.CancelJob() if not self.mute:
+            case m.CancelJob() if not self.ignores_cancel:
                 self.cancelled.add(message.job_id)
                 for key, (owner, submit) in list(self.running.items()):
                     if submit.job_id == message.job_id:
@@ -161,7 +161,7 @@
         self.bed.group.start_soon(self.run, submit.request_id)
 
     def fail(self, key: str, entry: str, ran: str, reason: str) -> None:
-        """End a running item without an answer."""
+        """Fail a running item, with the text that it generated."""
         _, submit = self.running.pop(key)
         text = self.texts.get(key, '')
         count = text.count(' ')
@@ -169,20 +169,20 @@
         self.to_entry[entry].send(failed)
 
     async def run(self, key: str) -> None:
-        """Run one item: tokens, then the end, or a fault of the seed."""
+        """Run one item: send its tokens and its end, or a random failure."""
         if key not in self.running:
             return
         entry, submit = self.running[key]
         prompt = json.loads(submit.body)['prompt']
-        wire = self.to_entry[entry]
-        wire.send(m.Started(submit.request_id))
+        channel = self.to_entry[entry]
+        channel.send(m.Started(submit.request_id))
         if prompt.startswith('INVALID'):
             await anyio.sleep(self.step_s)
             body = b'{"error": "invalid"}'
             if self.running.pop(key, None):
-                wire.send(m.End(key, 0, 400, {}, body, '', 0, 0))
+                channel.send(m.End(key, 0, 400, {}, body, '', 0, 0))
             return
-        tokens = answer_to(prompt)[submit.resume_tokens :]
+        tokens = expected_tokens(prompt)[submit.resume_tokens :]
         for seq, token in enumerate(tokens):
             await anyio.sleep(self.step_s)
             if key not in self.running:
@@ -194,16 +194,16 @@
                 self.fail(key, entry, 'ran', 'preempted')
                 return
             self.texts[key] = f'{self.texts.get(key, "")}{token}'
-            wire.send(m.Chunk(key, seq, token, 1))
+            channel.send(m.Chunk(key, seq, token, 1))
         self.running.pop(key)
-        wire.send(m.End(key, len(tokens), 200, {}, b'', 'stop', 3, 4))
+        channel.send(m.End(key, len(tokens), 200, {}, b'', 'stop', 3, 4))
 
     def chance(self, rate: float) -> bool:
-        """Tell whether a fault of this rate happens now."""
+        """Return true at random, with the given probability."""
         return self.bed.rng.random() < rate
 
     async def grant_room(self) -> None:
-        """Grant free slots to the least slack, as long as it runs."""
+        """Keep granting free slots, to the demand with least slack first."""
         while True:
             await anyio.sleep(0.05)
             now_s = anyio.current_time()
@@ -224,8 +224,8 @@
                     self.grant_number += 1
                     grant = (entry, job_id, now_s + 2.0)
                     self.grants[self.grant_number] = grant
-                    wire = self.to_entry[entry]
-                    wire.send(
+                    channel = self.to_entry[entry]
+                    channel.send(
                         m.BatchGrant(self.grant_number, POOL, job_id, 1),
                     )
 
@@ -241,16 +241,16 @@
     timers: TimerService
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
     gate: anyio.Event | None = None
-    wires: list[Wire] = field(default_factory=list)
+    channels: list[Channel] = field(default_factory=list)
     process: Any = None
 
     @property
     def parts(self) -> batch_part.BatchParts:
-        """Return the batch parts."""
+        """Return the entry's batch objects."""
         return batch_part.parts_of(self.process)
 
     async def run(self) -> None:
-        """Run the part and the timers until the entry is killed."""
+        """Run the batch part and the timers until the entry is killed."""
         with self.scope:
             async with anyio.create_task_group() as group:
                 self.process.group = group
@@ -259,7 +259,7 @@
                 await self.tick(group)
 
     async def tick(self, group: Any) -> None:
-        """Run the timers as `TimerService.run` does, with pauses."""
+        """Run the timers as `TimerService.run` does, except while paused."""
         while True:
             await anyio.sleep(0.02)
             if self.gate is not None:
@@ -269,11 +269,11 @@
                 group.start_soon(self.timers.fire, subscription)
 
     def pause(self) -> None:
-        """Stop the process: timers, messages and store calls."""
+        """Pause the process: its timers, messages and store calls."""
         self.gate = self.client.gate = anyio.Event()
 
     def resume(self) -> None:
-        """Let the process go on where it was."""
+        """Resume the paused process where it stopped."""
         gate, self.gate, self.client.gate = self.gate, None, None
         assert gate is not None
         gate.set()
@@ -281,7 +281,7 @@
 
 @dataclass
 class Bed:
-    """Everything of one scenario."""
+    """All processes and the store of one scenario, with its checks."""
 
     seed: int = 0
     rng: random.Random = field(init=False)
@@ -299,10 +299,10 @@
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
         self.shared.observers.append(self.observe)
-        self.known: dict[str, Progress] = {}
+        self.last_progress: dict[str, Progress] = {}
 
     def observe(self, key: str, value: bytes) -> None:
-        """Check every write: nothing recorded may change afterwards."""
+        """Check a write: a recorded result must never change afterwards."""
         kind = key.split('/')[0]
         if kind == 'jobs':
             job = unpack(JobRecord, Envelope.unpack(value).payload)
@@ -312,8 +312,8 @@
             return
         new = decode(Envelope.unpack(value).payload)
         assert new is not None
-        old = self.known.get(key)
-        self.known[key] = new
+        old = self.last_progress.get(key)
+        self.last_progress[key] = new
         if old is None:
             return
         if old.state != 'open':
@@ -330,7 +330,7 @@
                 self.violations.append(f'{key} changed result {one.index}')
 
     def add_entry(self, name: str) -> Entry:
-        """Start one more entry."""
+        """Start an entry; it is not connected yet."""
         rng = random.Random(f'{self.seed}/{name}')
         own = fleet.Instance(name, 'entry', 'a', '')
         entry = Entry(
@@ -363,13 +363,13 @@
         return entry
 
     def log_event(self, name: str, **fields: object) -> None:
-        """Count the events of all entries; faults are violations."""
+        """Count the events of all entries; a `batch_fault` is a violation."""
         self.events[name] += 1
         if name == 'batch_fault':
             self.violations.append(f'fault {fields}')
 
     async def connect(self) -> None:
-        """Connect all pairs that are not connected."""
+        """Connect each pair of processes that isn't connected."""
         names = sorted(self.entries)
         for name in names:
             for peer in names:
@@ -384,31 +384,31 @@
         """Open a connection between two entries."""
         one, two = self.entries[name], self.entries[peer]
         for own, other in ((one, two), (two, one)):
-            wire = Wire(None, hello(other.name, 'entry'))
-            own.wires.append(wire)
-            own.fleet.entries[other.name] = wire  # type: ignore[assignment]
+            channel = Channel(None, hello(other.name, 'entry'))
+            own.channels.append(channel)
+            own.fleet.entries[other.name] = channel  # type: ignore[assignment]
             row = fleet.Instance(other.name, 'entry', 'a', '')
             own.fleet.instances[other.name] = row
         for own, other in ((one, two), (two, one)):
-            wire = own.fleet.entries[other.name]  # type: ignore[assignment]
+            channel = own.fleet.entries[other.name]  # type: ignore[assignment]
             back = other.fleet.entries[own.name]
-            wire.receive = receiver(other.fleet, back)
-            self.group.start_soon(wire.pump, gate_of(other))
+            channel.receive = receiver(other.fleet, back)
+            self.group.start_soon(channel.pump, gate_of(other))
 
     async def connect_sidecar(self, entry: Entry, sidecar: Sidecar) -> None:
-        """Open the connection of an entry to a sidecar."""
+        """Open a connection from an entry to a sidecar."""
 
         async def to_sidecar(message: m.Message) -> None:
             await sidecar.receive(entry.name, message)
 
-        session = Wire(to_sidecar, hello(sidecar.name, 'sidecar'))
-        entry.wires.append(session)
+        session = Channel(to_sidecar, hello(sidecar.name, 'sidecar'))
+        entry.channels.append(session)
         row = fleet.Instance(sidecar.name, 'sidecar', 'a', '', POOL)
         entry.fleet.instances[sidecar.name] = row
         await fleet.opened(entry.fleet, session)  # type: ignore[arg-type]
-        back = Wire(receiver(entry.fleet, session), hello('', 'entry'))
+        back = Channel(receiver(entry.fleet, session), hello('', 'entry'))
         sidecar.to_entry[entry.name] = back
-        entry.wires.append(back)
+        entry.channels.append(back)
         self.group.start_soon(session.pump, lambda: None)
         self.group.start_soon(back.pump, gate_of(entry))
         report = m.Report(
@@ -418,11 +418,14 @@
         back.send(report)
 
     def disconnect(self, name: str, listed: bool) -> None:
-        """Close an entry's connections; the list may still name it."""
+        """Close an entry's connections.
+
+        With `listed` the other entries' instance lists still contain it.
+        """
         gone = self.entries[name]
-        for wire in gone.wires:
-            wire.closed = True
-        gone.wires.clear()
+        for channel in gone.channels:
+            channel.closed = True
+        gone.channels.clear()
         for link in list(gone.fleet.links.values()):
             fleet.closed(gone.fleet, link.session)
         gone.fleet.entries.clear()
@@ -439,13 +442,13 @@
                 sidecar.demands.pop(demand)
 
     def kill(self, name: str) -> None:
-        """Crash an entry; the list drops it."""
+        """Crash an entry and remove it from the instance lists."""
         self.entries[name].scope.cancel()
         self.disconnect(name, listed=False)
         self.entries.pop(name)
 
     async def start(self, entries: int = 2, sidecars: int = 2) -> None:
-        """Start the processes and connect them."""
+        """Start the sidecars and entries and connect them."""
         for number in range(sidecars):
             sidecar = Sidecar(f'sidecar-{number}', self)
             self.sidecars[sidecar.name] = sidecar
@@ -472,12 +475,12 @@
         return str(created.unwrap().job.job_id)
 
     def job(self, job_id: str) -> JobRecord:
-        """Return a job's record as it is stored."""
+        """Return a job's stored record."""
         record = self.shared.records[keys.job_key('barf', job_id)]
         return unpack(JobRecord, Envelope.unpack(record.value).payload)
 
     async def wait(self, done: Callable[[], bool], limit_s: float) -> None:
-        """Wait in virtual time; the limit only ends a stuck run."""
+        """Wait until `done` is true; fail a run stuck for the time limit."""
         end_s = anyio.current_time() + limit_s
         while not done():
             assert anyio.current_time() < end_s, f'stuck, seed {self.seed}'
@@ -488,14 +491,14 @@
         await self.wait(lambda: self.job(job_id).finished_ms > 0, limit_s)
 
     async def lines(self, job_id: str, failed: bool) -> list[Any]:
-        """Return the result lines of a job."""
+        """Return a job's parsed result lines, or its error lines."""
         name = sorted(self.entries)[0]
         found = await self.service(name).results('barf', job_id, failed)
         raw = b''.join([part async for part in found.unwrap()])
         return [json.loads(line) for line in raw.splitlines()]
 
     async def check(self, job_id: str, prompts: list[str]) -> None:
-        """Check that each item has exactly its own result."""
+        """Check that each item has exactly one result, and its own one."""
         assert not self.violations, (self.seed, self.violations[:3])
         good = await self.lines(job_id, failed=False)
         bad = await self.lines(job_id, failed=True)
@@ -504,11 +507,11 @@
         for line in good:
             prompt = prompts[int(line['custom_id'])]
             text = line['response']['body']['choices'][0]['text']
-            assert text == ''.join(answer_to(prompt)), f'seed {self.seed}'
+            assert text == ''.join(expected_tokens(prompt)), f'seed {self.seed}'
 
 
 def jsonl(prompts: list[str]) -> bytes:
-    """Return a file of batch items."""
+    """Return a JSON Lines file with one batch item per prompt."""
     rows = [
         {
             'custom_id': str(number),
@@ -522,7 +525,7 @@
 
 
 def receiver(target: fleet.Fleet, session: Any) -> Any:
-    """Return the delivery to an entry."""
+    """Return a function that delivers messages to an entry's fleet."""
 
     async def receive(message: m.Message) -> None:
         await fleet.dispatch(target, session, message)
@@ -531,7 +534,7 @@
 
 
 def gate_of(entry: Entry) -> Callable[[], anyio.Event | None]:
-    """Return how a wire sees that an entry is paused."""
+    """Return a function that returns the resume event of a paused entry."""
     return lambda: entry.gate
 
 
@@ -540,7 +543,7 @@
     seed: int = 0,
     **fields: Any,
 ) -> None:
-    """Run a scenario on a fresh bed; the seed is printed on a failure."""
+    """Run a scenario on a new test bed; pytest shows the seed on failure."""
 
     async def run() -> None:
         bed = Bed(seed)
@@ -551,12 +554,13 @@
             group.cancel_scope.cancel()
 
     print(f'seed {seed}')
-    # Virtual time would pass while a thread runs, differently in each run.
+    # With real threads, virtual time would advance while a thread runs, by a
+    # different amount in each run.
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(to_thread, 'run_sync', run_inline)
         run_virtual(run)
 
 
 async def run_inline(work: Callable[..., Any], *arguments: Any) -> Any:
-    """Run the work of a thread in the event loop."""
+    """Run a function in the event loop instead of in a thread."""
     return work(*arguments)
--- a/tests/test_batch_http.py
+++ b/tests/test_batch_http.py
@@ -1,4 +1,4 @@
-"""Files and batches over HTTP, through real entries, sidecars and engines."""
+"""Files and batches over HTTP, with real entries, sidecars and engines."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def items(count: int, **fields: Any) -> bytes:
-    """Return a file of batch items."""
+    """Return a JSON Lines file of batch items; item 3 is invalid."""
     rows = [
         {
             'custom_id': f'item-{number}',
@@ -35,7 +35,7 @@
 
 
 async def upload(fleet: Fleet, contents: bytes, **more: Any) -> Answer:
-    """Send a multipart upload."""
+    """Upload a file as a multipart form."""
     parts = [
         f'--{BOUNDARY}\r\n'
         'Content-Disposition: form-data; name="purpose"\r\n\r\nbatch\r\n',
@@ -55,13 +55,17 @@
 
 
 async def create(fleet: Fleet, file_id: str, **more: Any) -> Answer:
-    """Send a job."""
+    """Create a job for an uploaded file."""
     body = {'input_file_id': file_id, 'endpoint': '/v1/completions'}
     return await fleet.ask('/v1/batches', {**body, **more})
 
 
 def test_job_runs_from_upload_to_results() -> None:
-    """Guards against parts that fit in tests but not in the processes."""
+    """Guards against batch parts that pass their own tests but fail together.
+
+    Runs a job from upload to results, with one invalid item. The status is
+    read at another entry, and a repeated request must return the same job.
+    """
 
     async def scenario() -> None:
         async with make_fleet(engines=2, entries=2, entry=ENTRY) as fleet:
@@ -104,7 +108,7 @@
 
 
 def test_cancel_stops_a_job_at_the_engines() -> None:
-    """Guards against a cancelled job that goes on at an engine."""
+    """Guards against items that still run at an engine after a cancel."""
 
     async def scenario() -> None:
         async with make_fleet(engines=2, entries=2, entry=ENTRY) as fleet:
@@ -128,7 +132,7 @@
 
 
 def test_organisations_do_not_see_each_other() -> None:
-    """Guards against reading or cancelling another customer's work."""
+    """Guards against access to another organisation's files and jobs."""
 
     async def scenario() -> None:
         async with make_fleet(entries=1, entry=ENTRY) as fleet:
@@ -167,7 +171,7 @@
     ],
 )
 def test_invalid_files_are_refused(contents: bytes, code: str) -> None:
-    """Guards against a job whose items can't be told apart or run."""
+    """Guards against accepting a file with invalid or duplicate items."""
 
     async def scenario() -> None:
         async with make_fleet(entries=1, entry=ENTRY) as fleet:
--- a/tests/test_batch_rules.py
+++ b/tests/test_batch_rules.py
@@ -113,11 +113,11 @@
     async def body(bed: Bed) -> None:
         job_id = await bed.submit(prompts)
         await claimed(bed, job_id)
-        bed.sidecars['sidecar-0'].mute = True
+        bed.sidecars['sidecar-0'].ignores_cancel = True
         await bed.service().cancel('barf', job_id)
         assert bed.job(job_id).state == 'cancelling'
         bed.kill('entry-0')
-        bed.sidecars['sidecar-0'].mute = False
+        bed.sidecars['sidecar-0'].ignores_cancel = False
         await bed.finished(job_id)
         assert bed.job(job_id).state == 'cancelled'
 
@@ -140,7 +140,7 @@
         if silent == 'entry-1':
             bed.disconnect(silent, listed=True)
         else:
-            bed.sidecars[silent].mute = True
+            bed.sidecars[silent].ignores_cancel = True
         status = await bed.service().cancel('barf', job_id)
         assert status.unwrap().job.state == 'cancelling'
         await anyio.sleep(30)
--- a/tests/test_batch_runs.py
+++ b/tests/test_batch_runs.py
@@ -1,4 +1,4 @@
-"""Whole runs of batch jobs: entries, sidecars and one store with faults."""
+"""Complete batch jobs on several entries and sidecars, with random faults."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 def prompts_of(count: int) -> list[str]:
-    """Return prompts that differ."""
+    """Return distinct prompts."""
     return [f'p{number}' for number in range(count)]
 
 
 @pytest.mark.parametrize('step_s', [0.05, 1.0])
 def test_job_of_2000_items_costs_few_writes(step_s: float) -> None:
-    """Guards against an item costing a write, and against lost items.
+    """Guards against one store write per item, and against lost items.
 
-    The endpoints finish about 80 items a second, or 4; the cost must not
-    depend on the speed, nor on the number of entries.
+    The endpoints finish about 80 or 4 items a second. The number of writes
+    must depend neither on that rate nor on the number of entries.
     """
     prompts = prompts_of(2000)
 
@@ -34,9 +34,10 @@
         writes = sum(bed.shared.writes.values())
         print(dict(bed.shared.writes), writes / len(prompts))
         assert writes / len(prompts) < 0.1
-        # One owner is enough at 4 items/s: a commit every 5 s for 500 s.
+        # At 4 items/s one owner is enough: one commit every 5 s for 500 s.
         assert bed.shared.writes['progress'] < 120
-        # Figures for the status: 20 steps, and one write every 30 s.
+        # Progress figures: one write for each 1/20 of the items, and one
+        # every 30 s.
         assert bed.shared.writes['active'] < 50
 
     scenario(body, entries=8)
@@ -45,8 +46,8 @@
 SEEDS = range(int(os.environ.get('BATCH_SEEDS', '4')))
 
 
-async def with_faults(bed: Bed, rate: float) -> None:
-    """Let the store and the sidecars fail at random from now on."""
+async def enable_random_faults(bed: Bed, rate: float) -> None:
+    """Make the store and the sidecars fail at random from now on."""
     for entry in bed.entries.values():
         entry.client.fault_rate = rate
     for sidecar in bed.sidecars.values():
@@ -54,15 +55,15 @@
         sidecar.break_rate = 0.01
 
 
-async def without_faults(bed: Bed) -> None:
-    """End the random faults."""
+async def disable_faults(bed: Bed) -> None:
+    """End the random faults and outages of the store."""
     for entry in bed.entries.values():
         entry.client.fault_rate = 0
         entry.client.down = False
 
 
-async def shake(bed: Bed) -> None:
-    """Pause, disconnect and cut off entries at random times."""
+async def inject_process_faults(bed: Bed) -> None:
+    """Pause, disconnect or kill entries, or cut off their store, at random."""
     for _ in range(4):
         await anyio.sleep(bed.rng.random() * 4)
         name = bed.rng.choice(sorted(bed.entries))
@@ -89,18 +90,19 @@
 
 @pytest.mark.parametrize('seed', SEEDS)
 def test_each_item_has_one_result_under_faults(seed: int) -> None:
-    """Guards against lost, doubled or changed results, whatever fails.
+    """Guards against lost, duplicated or changed results under faults.
 
-    The store loses answers, drops writes and is down; entries are paused
-    beyond their ownership and die; items are preempted and break.
+    The store loses responses, drops writes and is unavailable. Entries crash
+    or are paused so long that others take over their segments. Items are
+    preempted and their streams break.
     """
     prompts = prompts_of(1200)
 
     async def body(bed: Bed) -> None:
         job_id = await bed.submit(prompts)
-        await with_faults(bed, 0.1)
-        await shake(bed)
-        await without_faults(bed)
+        await enable_random_faults(bed, 0.1)
+        await inject_process_faults(bed)
+        await disable_faults(bed)
         await bed.finished(job_id)
         await bed.check(job_id, prompts)
         assert bed.job(job_id).completed + bed.job(job_id).failed == 1200
@@ -110,12 +112,17 @@
 
 @pytest.mark.parametrize('seed', SEEDS)
 def test_nothing_starts_after_cancelled(seed: int) -> None:
-    """Guards against work of a job whose cancel was acknowledged."""
+    """Guards against starting items of a job after its cancellation.
+
+    The cancellation is requested while one entry is paused and store calls
+    fail at random. Once the job is cancelled, no item may start and no result
+    may be recorded.
+    """
     prompts = prompts_of(1500)
 
     async def body(bed: Bed) -> None:
         job_id = await bed.submit(prompts)
-        await with_faults(bed, 0.1)
+        await enable_random_faults(bed, 0.1)
         await anyio.sleep(2 + bed.rng.random() * 6)
         name = bed.rng.choice(sorted(bed.entries))
         paused = bed.entries[name]
@@ -124,8 +131,8 @@
         await bed.service(other).cancel('barf', job_id)
         await anyio.sleep(bed.rng.random() * 5)
         paused.resume()
-        await shake(bed)
-        await without_faults(bed)
+        await inject_process_faults(bed)
+        await disable_faults(bed)
         await bed.finished(job_id)
         recorded = len(await bed.lines(job_id, failed=False))
         await anyio.sleep(20)
