--- a/src/quetzaldyke/commands/rig.py
+++ b/src/quetzaldyke/commands/rig.py
@@ -276,7 +276,7 @@
         entry.stopping.set()
     for endpoint in rig.endpoints.values():
         endpoint.sidecar.stopping.set()
-    rig.kv.outage.stopping.set()
-    rig.instances.outage.stopping.set()
+    rig.kv.server.stopping.set()
+    rig.instances.server.stopping.set()
     for endpoint in rig.endpoints.values():
-        endpoint.standin.outage.stopping.set()
+        endpoint.standin.server.stopping.set()
--- a/src/quetzaldyke/standins/engine.py
+++ b/src/quetzaldyke/standins/engine.py
@@ -32,7 +32,7 @@
 from quetzaldyke.standins.engine_cache import PrefixCache
 from quetzaldyke.standins.engine_options import EngineFaults, EngineOptions
 from quetzaldyke.standins.engine_orders import ACTIONS, OrderState
-from quetzaldyke.standins.faults import Outage, control_routes
+from quetzaldyke.standins.faults import InterruptibleServer, control_routes
 
 CHAT_PATH: Final = '/v1/chat/completions'
 TEXT_PATH: Final = '/v1/completions'
@@ -49,26 +49,26 @@
     counts: EngineCounts
     batch: Batch
     orders: OrderState
-    outage: Outage
+    server: InterruptibleServer
     load_report: Body = field(default_factory=dict)
 
     @property
     def address(self) -> str:
         """Return the bound address."""
-        return self.outage.address
+        return self.server.address
 
     @property
     def stopping(self) -> anyio.Event:
         """Return the event that stops the stand-in."""
-        return self.outage.stopping
+        return self.server.stopping
 
 
-def refusal(status: int, code: str, message: str) -> Response:
+def error_response(status: int, code: str, message: str) -> Response:
     """Return an error in the protocol's shape."""
     return JSONResponse({'error': {'code': code, 'message': message}}, status)
 
 
-def usage_of(stream: EngineStream) -> Body:
+def usage_body(stream: EngineStream) -> Body:
     """Return the usage; completion tokens include those resumed after."""
     return {
         'prompt_tokens': stream.prompt_words,
@@ -78,19 +78,21 @@
     }
 
 
-def choice_of(path: str, text: str, reason: str | None, whole: bool) -> Body:
+def choice_body(
+    path: str, text: str, reason: str | None, complete_answer: bool
+) -> Body:
     """Return the one choice of a chunk or of a whole answer."""
     choice: Body = {'index': 0, 'finish_reason': reason}
     if path == TEXT_PATH:
         choice['text'] = text
-    elif whole:
+    elif complete_answer:
         choice['message'] = {'role': 'assistant', 'content': text}
     else:
         choice['delta'] = {'content': text}
     return choice
 
 
-def answer_body(
+def completion_body(
     engine: EngineStandin,
     path: str,
     stream: EngineStream,
@@ -106,7 +108,7 @@
     }
 
 
-async def sse_lines(
+async def sse_events(
     engine: EngineStandin,
     path: str,
     stream: EngineStream,
@@ -115,26 +117,28 @@
     try:
         async for index in stream.source:
             text = engine_text.token_text(stream.prompt, index)
-            choice = choice_of(path, text, None, whole=False)
-            body = answer_body(engine, path, stream, choice)
+            choice = choice_body(path, text, None, complete_answer=False)
+            body = completion_body(engine, path, stream, choice)
             yield f'data: {json.dumps(body)}\n\n'
         if stream.finish_reason:
-            last = choice_of(path, '', stream.finish_reason, whole=False)
-            body = answer_body(engine, path, stream, last)
-            body['usage'] = usage_of(stream)
+            last = choice_body(
+                path, '', stream.finish_reason, complete_answer=False
+            )
+            body = completion_body(engine, path, stream, last)
+            body['usage'] = usage_body(stream)
             yield f'data: {json.dumps(body)}\n\n'
             yield 'data: [DONE]\n\n'
     finally:
-        leave(engine, stream)
+        end_disconnected(engine, stream)
 
 
-def leave(engine: EngineStandin, stream: EngineStream) -> None:
+def end_disconnected(engine: EngineStandin, stream: EngineStream) -> None:
     """End a stream whose connection has gone."""
     if not engine.options.keep_orphans and not stream.finish_reason:
         engine.batch.end(stream)
 
 
-async def whole_answer(
+async def non_streaming_response(
     engine: EngineStandin,
     request: Request,
     stream: EngineStream,
@@ -146,7 +150,7 @@
     async def watch_client() -> None:
         while not await request.is_disconnected():
             await anyio.sleep(0.02)
-        leave(engine, stream)
+        end_disconnected(engine, stream)
 
     async with anyio.create_task_group() as group:
         group.start_soon(watch_client)
@@ -154,23 +158,27 @@
             texts.append(engine_text.token_text(stream.prompt, index))
         group.cancel_scope.cancel()
     if not stream.finish_reason:
-        return engine.outage.break_answer(request)
+        return engine.server.abort_connection(request)
     text = ''.join(texts)
-    choice = choice_of(path, text, stream.finish_reason, whole=True)
-    body = answer_body(engine, path, stream, choice)
-    body['usage'] = usage_of(stream)
+    choice = choice_body(path, text, stream.finish_reason, complete_answer=True)
+    body = completion_body(engine, path, stream, choice)
+    body['usage'] = usage_body(stream)
     return JSONResponse(body)
 
 
-async def complete(engine: EngineStandin, request: Request) -> Response:
+async def create_completion(
+    engine: EngineStandin, request: Request
+) -> Response:
     """Answer a completion or chat request."""
     body = await request.json()
-    prompt = engine_text.prompt_of(body)
+    prompt = engine_text.prompt_text(body)
     if engine_text.INVALID_WORD in prompt:
-        return refusal(400, 'invalid_request', 'the prompt is invalid')
+        return error_response(400, 'invalid_request', 'the prompt is invalid')
     request_id = request.headers.get('x-request-id') or uuid.uuid4().hex
     if engine.batch.find(request_id) is not None:
-        return refusal(409, 'request_exists', 'this request id is running')
+        return error_response(
+            409, 'request_exists', 'this request id is running'
+        )
     stream = engine.batch.submit(
         request_id,
         prompt,
@@ -178,20 +186,20 @@
         int(body.get('max_tokens') or engine_text.DEFAULT_MAX_TOKENS),
     )
     if not body.get('stream', False):
-        return await whole_answer(engine, request, stream)
+        return await non_streaming_response(engine, request, stream)
     return StreamingResponse(
-        sse_lines(engine, request.url.path, stream),
+        sse_events(engine, request.url.path, stream),
         media_type='text/event-stream',
         headers={'X-Request-Id': request_id},
     )
 
 
-async def health(_engine: EngineStandin, _request: Request) -> Response:
+async def get_health(_engine: EngineStandin, _request: Request) -> Response:
     """Tell that the engine runs."""
     return JSONResponse({'status': 'ok'})
 
 
-async def models(engine: EngineStandin, _request: Request) -> Response:
+async def list_models(engine: EngineStandin, _request: Request) -> Response:
     """List the loaded model."""
     state = engine.orders
     loaded = {'id': state.model, 'object': 'model', 'version': state.version}
@@ -199,23 +207,23 @@
     return JSONResponse({'object': 'list', 'data': listed})
 
 
-async def running(engine: EngineStandin, _request: Request) -> Response:
+async def list_requests(engine: EngineStandin, _request: Request) -> Response:
     """List the requests that run or wait."""
     return JSONResponse({'running': engine.batch.ids()})
 
 
-async def cancel(engine: EngineStandin, request: Request) -> Response:
+async def cancel_request(engine: EngineStandin, request: Request) -> Response:
     """Cancel a request."""
     if engine.batch.cancel(request.path_params['id']):
         return JSONResponse({'cancelled': True})
-    return refusal(404, 'no_request', 'no such request')
+    return error_response(404, 'no_request', 'no such request')
 
 
 async def export_cache(engine: EngineStandin, request: Request) -> Response:
     """Return the KV cache of a request."""
     prefixes = engine.batch.exports.get(request.path_params['id'])
     if prefixes is None:
-        return refusal(404, 'no_request', 'no such request')
+        return error_response(404, 'no_request', 'no such request')
     packed = msgpack.packb([engine.orders.model, prefixes])
     return Response(packed, media_type='application/octet-stream')
 
@@ -225,19 +233,21 @@
     try:
         model, prefixes = msgpack.unpackb(await request.body())
     except (ValueError, TypeError, msgpack.UnpackException):
-        return refusal(400, 'invalid_cache', 'not an exported cache')
+        return error_response(400, 'invalid_cache', 'not an exported cache')
     if model != engine.orders.model:
-        return refusal(409, 'other_model', 'the cache is of another model')
+        return error_response(
+            409, 'other_model', 'the cache is of another model'
+        )
     engine.batch.cache.store(prefixes)
     return JSONResponse({'blocks': len(prefixes)})
 
 
-async def load(engine: EngineStandin, _request: Request) -> Response:
+async def get_load(engine: EngineStandin, _request: Request) -> Response:
     """Return the last load report, which lags."""
     return JSONResponse(engine.load_report)
 
 
-async def cache_events(engine: EngineStandin, request: Request) -> Response:
+async def get_cache_events(engine: EngineStandin, request: Request) -> Response:
     """Return the cache events after a number."""
     after = int(request.query_params.get('after', 0))
     return JSONResponse({'events': engine.batch.cache.events_after(after)})
@@ -253,16 +263,16 @@
         tuple[str, str], Callable[[EngineStandin, Request], Awaitable[Response]]
     ]
 ] = {
-    ('POST', CHAT_PATH): complete,
-    ('POST', TEXT_PATH): complete,
-    ('GET', '/health'): health,
-    ('GET', '/v1/models'): models,
-    ('GET', '/v1/requests'): running,
-    ('POST', '/v1/requests/{id}/cancel'): cancel,
+    ('POST', CHAT_PATH): create_completion,
+    ('POST', TEXT_PATH): create_completion,
+    ('GET', '/health'): get_health,
+    ('GET', '/v1/models'): list_models,
+    ('GET', '/v1/requests'): list_requests,
+    ('POST', '/v1/requests/{id}/cancel'): cancel_request,
     ('POST', '/v1/requests/{id}/export'): export_cache,
     ('POST', '/v1/requests/{id}/import'): import_cache,
-    ('GET', '/load'): load,
-    ('GET', '/cache_events'): cache_events,
+    ('GET', '/load'): get_load,
+    ('GET', '/cache_events'): get_cache_events,
     ('GET', '/orders'): get_orders,
 }
 
@@ -273,7 +283,7 @@
     async def post_order(request: Request) -> Response:
         order = await request.json()
         if order.get('action') not in ACTIONS:
-            return refusal(400, 'unknown_action', 'unknown action')
+            return error_response(400, 'unknown_action', 'unknown action')
         token = int(order.get('fencing_token', 0))
         if not engine.orders.accepts(token):
             return JSONResponse(engine.orders.as_dict(), 409)
@@ -287,7 +297,7 @@
 def make_app(engine: EngineStandin, group: TaskGroup) -> Starlette:
     """Return the HTTP app of a stand-in."""
 
-    def bound(
+    def bind_engine(
         handler: Callable[[EngineStandin, Request], Awaitable[Response]],
     ) -> Callable[[Request], Awaitable[Response]]:
         async def endpoint(request: Request) -> Response:
@@ -299,7 +309,7 @@
         return dataclasses.asdict(engine.counts)
 
     routes = [
-        Route(path, bound(handler), methods=[method])
+        Route(path, bind_engine(handler), methods=[method])
         for (method, path), handler in HANDLERS.items()
     ]
     routes.append(orders_route(engine, group))
@@ -324,8 +334,8 @@
         options.check_tokens,
         options.load_model_s,
     )
-    outage = Outage(lambda: batch.is_down)
-    return EngineStandin(options, faults, counts, batch, orders, outage)
+    server = InterruptibleServer(lambda: batch.is_down)
+    return EngineStandin(options, faults, counts, batch, orders, server)
 
 
 async def report_load(engine: EngineStandin) -> None:
@@ -335,11 +345,11 @@
         await anyio.sleep(engine.options.load_report_lag_s)
 
 
-async def restart_when_down(engine: EngineStandin) -> None:
+async def reset_while_down(engine: EngineStandin) -> None:
     """Lose all state while the process is gone."""
     while True:
         if engine.batch.is_down:
-            engine.batch.lose_all()
+            engine.batch.reset()
             engine.orders.highest_token = 0
         await anyio.sleep(0.01)
 
@@ -354,12 +364,12 @@
     async with anyio.create_task_group() as group:
         group.start_soon(engine.batch.run)
         group.start_soon(report_load, engine)
-        group.start_soon(restart_when_down, engine)
+        group.start_soon(reset_while_down, engine)
         await group.start(
-            engine.outage.serve,
+            engine.server.serve,
             make_app(engine, group),
             options.address,
         )
         task_status.started(engine)
-        await engine.outage.stopped.wait()
+        await engine.server.stopped.wait()
         group.cancel_scope.cancel()
--- a/src/quetzaldyke/standins/engine_batch.py
+++ b/src/quetzaldyke/standins/engine_batch.py
@@ -23,12 +23,12 @@
 from quetzaldyke.standins.engine_text import (
     BLOCK_WORDS,
     CRASH_WORD,
-    prefix_names,
+    prefix_hashes,
 )
 
 # Finished or cancelled requests whose KV cache can still be exported.
-KEPT_EXPORTS: Final = 256
-MS_PER_S: Final = 1000
+MAX_EXPORTS: Final = 256
+MS_IN_S: Final = 1000
 
 
 @dataclass(slots=True)
@@ -76,7 +76,7 @@
     cache: PrefixCache
     running: dict[str, EngineStream] = field(default_factory=dict)
     waiting: deque[EngineStream] = field(default_factory=deque)
-    work: anyio.Event = field(default_factory=anyio.Event)
+    work_available: anyio.Event = field(default_factory=anyio.Event)
     exports: OrderedDict[str, list[str]] = field(default_factory=OrderedDict)
     crashed_until_s: float = 0.0
 
@@ -101,7 +101,7 @@
         stream = EngineStream(
             request_id,
             prompt,
-            prefix_names(prompt),
+            prefix_hashes(prompt),
             first_token,
             max_tokens,
             sink,
@@ -109,7 +109,7 @@
         )
         self.counts.requests += 1
         self.waiting.append(stream)
-        self.work.set()
+        self.work_available.set()
         return stream
 
     def admit(self) -> float:
@@ -117,19 +117,19 @@
         prefill_words = 0
         while self.waiting and len(self.running) < self.options.max_streams:
             stream = self.waiting.popleft()
-            hits = self.cache.hits(stream.prefixes)
+            hits = self.cache.cached_prefix_count(stream.prefixes)
             stream.cached_words = hits * BLOCK_WORDS
             prefill_words += stream.prompt_words - stream.cached_words
             prefill_words += stream.next_token
             self.cache.store(stream.prefixes)
-            self.keep_export(stream)
+            self.record_export(stream)
             self.running[stream.request_id] = stream
         return prefill_words * self.options.prefill_ms_per_token
 
-    def keep_export(self, stream: EngineStream) -> None:
+    def record_export(self, stream: EngineStream) -> None:
         """Remember what an export of a stream has to hold."""
         self.exports[stream.request_id] = stream.prefixes
-        while len(self.exports) > KEPT_EXPORTS:
+        while len(self.exports) > MAX_EXPORTS:
             self.exports.popitem(last=False)
 
     async def step(self) -> None:
@@ -137,16 +137,16 @@
         prefill_ms = self.admit()
         options = self.options
         step_ms = options.step_ms + options.per_stream_ms * len(self.running)
-        step_s = (step_ms + prefill_ms) * self.faults.slow_factor / MS_PER_S
+        step_s = (step_ms + prefill_ms) * self.faults.slow_factor / MS_IN_S
         await anyio.sleep(step_s)
         self.counts.steps += 1
         for stream in list(self.running.values()):
             if CRASH_WORD in stream.prompt:
                 self.crash()
                 return
-            self.produce(stream)
+            self.generate_token(stream)
 
-    def produce(self, stream: EngineStream) -> None:
+    def generate_token(self, stream: EngineStream) -> None:
         """Give a stream its next token and end it after the last one."""
         if stream.next_token < stream.max_tokens:
             stream.sink.send_nowait(stream.next_token)
@@ -184,7 +184,7 @@
         self.end(stream)
         return True
 
-    def lose_all(self) -> None:
+    def reset(self) -> None:
         """Break off all streams and forget the cache."""
         for request_id in self.ids():
             stream = self.find(request_id)
@@ -197,15 +197,15 @@
         """Die now and stay gone for the restart time."""
         self.counts.crashes += 1
         self.crashed_until_s = time.monotonic() + self.options.restart_s
-        self.lose_all()
+        self.reset()
 
     async def run(self) -> None:
         """Step while there is work, until cancelled."""
         while True:
             if self.faults.stalled or not (self.running or self.waiting):
-                self.work = anyio.Event()
+                self.work_available = anyio.Event()
                 with anyio.move_on_after(0.05):
-                    await self.work.wait()
+                    await self.work_available.wait()
                 continue
             await self.step()
 
--- a/src/quetzaldyke/standins/engine_cache.py
+++ b/src/quetzaldyke/standins/engine_cache.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Final
 
-KEPT_EVENTS: Final = 10_000
+MAX_EVENTS: Final = 10_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
     >>> cache = PrefixCache(2, lambda: 0.0)
     >>> cache.store(['a', 'b'])
     >>> cache.store(['c'])
-    >>> cache.hits(['a', 'b'])
+    >>> cache.cached_prefix_count(['a', 'b'])
     1
     >>> [(one['kind'], one['prefix']) for one in cache.events_after(3)]
     [('evicted', 'b')]
@@ -37,14 +37,14 @@
     now: Callable[[], float]
     event_lag_s: float = 0.0
     # Each event whose number is a multiple of this is lost; 0 loses none.
-    gap_every: int = 0
+    drop_every: int = 0
     blocks: OrderedDict[str, None] = field(default_factory=OrderedDict)
     events: deque[CacheEvent] = field(
-        default_factory=lambda: deque(maxlen=KEPT_EVENTS),
+        default_factory=lambda: deque(maxlen=MAX_EVENTS),
     )
     next_number: int = 1
 
-    def hits(self, prefixes: list[str]) -> int:
+    def cached_prefix_count(self, prefixes: list[str]) -> int:
         """Return how many leading blocks are cached."""
         count = 0
         for name in prefixes:
@@ -61,23 +61,23 @@
         """
         for name in reversed(prefixes):
             if name not in self.blocks:
-                self.note(name, 'stored')
+                self.record_event(name, 'stored')
             self.blocks[name] = None
             self.blocks.move_to_end(name)
         while len(self.blocks) > self.capacity:
             evicted, _ = self.blocks.popitem(last=False)
-            self.note(evicted, 'evicted')
+            self.record_event(evicted, 'evicted')
 
     def clear(self) -> None:
         """Lose everything, as at a crash: no events tell of it."""
         self.blocks.clear()
         self.events.clear()
 
-    def note(self, prefix: str, kind: str) -> None:
+    def record_event(self, prefix: str, kind: str) -> None:
         """Record an event, or lose it."""
         event_number = self.next_number
         self.next_number += 1
-        if self.gap_every and event_number % self.gap_every == 0:
+        if self.drop_every and event_number % self.drop_every == 0:
             return
         visible_s = self.now() + self.event_lag_s
         self.events.append(CacheEvent(event_number, prefix, kind, visible_s))
--- a/src/quetzaldyke/standins/engine_text.py
+++ b/src/quetzaldyke/standins/engine_text.py
@@ -43,12 +43,12 @@
     return ''.join(part.get('text', '') for part in content or ())
 
 
-def prompt_of(body: dict[str, Any]) -> str:
+def prompt_text(body: dict[str, Any]) -> str:
     """Return the prompt; chat messages are joined by line ends.
 
-    >>> prompt_of({'messages': [{'role': 'user', 'content': 'hello'}]})
+    >>> prompt_text({'messages': [{'role': 'user', 'content': 'hello'}]})
     'hello'
-    >>> prompt_of({'prompt': 'hello'})
+    >>> prompt_text({'prompt': 'hello'})
     'hello'
     """
     if 'messages' in body:
@@ -57,18 +57,18 @@
     return str(body.get('prompt', ''))
 
 
-def prefix_names(prompt: str) -> list[str]:
+def prefix_hashes(prompt: str) -> list[str]:
     """Return the name of each whole block's prefix, shortest first.
 
     A name is the start of the SHA-256 over all words up to the block's
     end, joined by spaces.
 
-    >>> prefix_names('too short')
+    >>> prefix_hashes('too short')
     []
     """
     words = prompt.split()
-    names = []
+    hashes = []
     for end in range(BLOCK_WORDS, len(words) + 1, BLOCK_WORDS):
         digest = hashlib.sha256(' '.join(words[:end]).encode()).hexdigest()
-        names.append(digest[:BLOCK_HASH_CHARS])
-    return names
+        hashes.append(digest[:BLOCK_HASH_CHARS])
+    return hashes
--- a/src/quetzaldyke/standins/faults.py
+++ b/src/quetzaldyke/standins/faults.py
@@ -30,11 +30,11 @@
 )
 
 POLL_S: Final = 0.005
-DRAIN_S: Final = 2
+DRAIN_TIMEOUT_S: Final = 2
 
 
 @dataclass(slots=True)
-class Outage:
+class InterruptibleServer:
     """Serves an app on one address and takes it down on demand."""
 
     is_down: Callable[[], bool]
@@ -46,27 +46,29 @@
     http: HttpServer | None = None
     listening: bool = False
 
-    def break_answer(self, request: Request) -> Response:
+    def abort_connection(self, request: Request) -> Response:
         """Break the connection of a request instead of answering it."""
         if self.http is not None and request.client is not None:
             host, port = request.client
             self.http.break_connection((host, port))
         return Response(status_code=500)
 
-    def guard(self, app: App) -> App:
+    def abort_when_down(self, app: App) -> App:
         """Return an app that answers nothing once the stand-in is down.
 
         The listener is closed a moment later than the switch is set.
         """
 
-        async def guarded(scope: Scope, receive: Receive, send: Send) -> None:
+        async def abort_or_serve(
+            scope: Scope, receive: Receive, send: Send
+        ) -> None:
             if not self.is_down():
                 await app(scope, receive, send)
                 return
             request = Request(scope)
-            await self.break_answer(request)(scope, receive, send)
+            await self.abort_connection(request)(scope, receive, send)
 
-        return guarded
+        return abort_or_serve
 
     async def serve(
         self,
@@ -77,7 +79,7 @@
     ) -> None:
         """Serve until stopped; refuses connections while it is down."""
         self.address = address
-        reported = False
+        started = False
         while not self.stopping.is_set():
             if self.is_down():
                 await anyio.sleep(POLL_S)
@@ -85,41 +87,41 @@
             async with anyio.create_task_group() as group:
                 self.http = await group.start(
                     serve_http,
-                    self.guard(app),
-                    HttpOptions(self.address, DRAIN_S),
+                    self.abort_when_down(app),
+                    HttpOptions(self.address, DRAIN_TIMEOUT_S),
                     self.stopping,
                 )
                 self.address = self.http.address
                 self.listening = True
-                if not reported:
+                if not started:
                     task_status.started()
-                    reported = True
-                await self.wait_for_outage()
+                    started = True
+                await self.wait_until_down()
                 if not self.stopping.is_set():
                     group.cancel_scope.cancel()
             self.listening = False
         self.stopped.set()
 
-    async def wait_for_outage(self) -> None:
+    async def wait_until_down(self) -> None:
         """Return when the stand-in goes down or is stopped."""
         while not self.is_down() and not self.stopping.is_set():
             await anyio.sleep(POLL_S)
 
 
 @dataclass(slots=True)
-class Chance:
+class SeededRandom:
     """Seeded random choices, so that a run can be repeated."""
 
     seed: int = 1
-    source: random.Random = field(init=False)
+    generator: random.Random = field(init=False)
 
     def __post_init__(self) -> None:
         """Seed the source."""
-        self.source = random.Random(self.seed)
+        self.generator = random.Random(self.seed)
 
-    def happens(self, ratio: float) -> bool:
+    def draw(self, ratio: float) -> bool:
         """Return True in the given share of calls."""
-        return ratio > 0 and self.source.random() < ratio
+        return ratio > 0 and self.generator.random() < ratio
 
 
 def set_faults(faults: Any, given: dict[str, Any]) -> str:
--- a/src/quetzaldyke/standins/instances.py
+++ b/src/quetzaldyke/standins/instances.py
@@ -20,7 +20,7 @@
 from starlette.responses import JSONResponse, Response
 from starlette.routing import Route
 
-from quetzaldyke.standins.faults import Outage, control_routes
+from quetzaldyke.standins.faults import InterruptibleServer, control_routes
 
 FILE_POLL_S: Final = 0.2
 FIELDS: Final = (
@@ -59,7 +59,7 @@
 
     options: InstancesOptions
     faults: InstancesFaults
-    outage: Outage
+    server: InterruptibleServer
     rows: dict[str, Row] = field(default_factory=dict)
     # Changes that don't show yet: time, name, and the row or None.
     pending: deque[tuple[float, str, Row | None]] = field(
@@ -71,19 +71,19 @@
     @property
     def address(self) -> str:
         """Return the bound address."""
-        return self.outage.address
+        return self.server.address
 
     @property
     def stopping(self) -> anyio.Event:
         """Return the event that stops the stand-in."""
-        return self.outage.stopping
+        return self.server.stopping
 
     def change(self, name: str, row: Row | None) -> None:
         """Set or remove (None) a row; it shows after the lag."""
         due_s = time.monotonic() + self.options.lag_s
         self.pending.append((due_s, name, row))
 
-    def listed(self) -> list[Row]:
+    def visible_rows(self) -> list[Row]:
         """Return the rows that show now, ordered by name."""
         now_s = time.monotonic()
         while not self.faults.frozen and self.pending:
@@ -97,20 +97,20 @@
                 self.rows[name] = row
         return [self.rows[name] for name in sorted(self.rows)]
 
-    def read_text(self, text: str) -> None:
+    def apply_text(self, text: str) -> None:
         """Adopt the contents of the file when they have changed."""
         if text == self.file_text:
             return
         rows = json.loads(text)['instances']
         self.file_text = text
-        named = {row['instance']: complete_row(row) for row in rows}
+        named = {row['instance']: row_with_defaults(row) for row in rows}
         for name in set(self.rows) - set(named):
             self.change(name, None)
         for name, row in named.items():
             self.change(name, row)
 
 
-def complete_row(given: dict[str, Any]) -> Row:
+def row_with_defaults(given: dict[str, Any]) -> Row:
     """Return a row with all fields; the state is live by default."""
     row = {name: str(given.get(name, '')) for name in FIELDS}
     row['state'] = row['state'] or 'live'
@@ -122,7 +122,7 @@
     path = anyio.Path(Path(standin.options.file))
     while True:
         try:
-            standin.read_text(await path.read_text())
+            standin.apply_text(await path.read_text())
         except (OSError, ValueError, KeyError):
             await anyio.sleep(0)
         await anyio.sleep(FILE_POLL_S)
@@ -133,11 +133,11 @@
 
     async def get_list(_request: Request) -> Response:
         standin.reads += 1
-        return JSONResponse({'instances': standin.listed()})
+        return JSONResponse({'instances': standin.visible_rows()})
 
     async def put_row(request: Request) -> Response:
         name = request.path_params['name']
-        row = complete_row({**(await request.json()), 'instance': name})
+        row = row_with_defaults({**(await request.json()), 'instance': name})
         standin.change(name, row)
         return JSONResponse(row)
 
@@ -164,15 +164,17 @@
 ) -> None:
     """Run the stand-in until it is stopped or cancelled."""
     faults = InstancesFaults()
-    standin = InstancesStandin(options, faults, Outage(lambda: faults.down))
+    standin = InstancesStandin(
+        options, faults, InterruptibleServer(lambda: faults.down)
+    )
     async with anyio.create_task_group() as group:
         if options.file:
             group.start_soon(poll_file, standin)
         await group.start(
-            standin.outage.serve,
+            standin.server.serve,
             make_app(standin),
             options.address,
         )
         task_status.started(standin)
-        await standin.outage.stopped.wait()
+        await standin.server.stopped.wait()
         group.cancel_scope.cancel()
--- a/src/quetzaldyke/standins/kv.py
+++ b/src/quetzaldyke/standins/kv.py
@@ -19,16 +19,20 @@
 from starlette.responses import JSONResponse, Response, StreamingResponse
 from starlette.routing import Route
 
-from quetzaldyke.standins.faults import Chance, Outage, control_routes
+from quetzaldyke.standins.faults import (
+    InterruptibleServer,
+    SeededRandom,
+    control_routes,
+)
 from quetzaldyke.standins.kv_calls import (
     CALLS,
     Body,
-    CallFailed,
+    KvCallError,
     KvCounts,
-    decode,
+    bytes_field,
     event_body,
     header,
-    number,
+    int_field,
 )
 from quetzaldyke.standins.kv_state import KeyEvent, KvState, in_range
 
@@ -72,39 +76,39 @@
     faults: KvFaults
     counts: KvCounts
     state: KvState
-    outage: Outage
-    chance: Chance
+    server: InterruptibleServer
+    rng: SeededRandom
 
     @property
     def address(self) -> str:
         """Return the bound address."""
-        return self.outage.address
+        return self.server.address
 
     @property
     def stopping(self) -> anyio.Event:
         """Return the event that stops the stand-in."""
-        return self.outage.stopping
+        return self.server.stopping
 
 
-async def answer_call(standin: KvStandin, request: Request) -> Response:
+async def handle_call(standin: KvStandin, request: Request) -> Response:
     """Run one call with the faults that are on."""
     body = await request.json()
     faults = standin.faults
-    if faults.delay_s and standin.chance.happens(faults.delay_ratio):
+    if faults.delay_s and standin.rng.draw(faults.delay_ratio):
         await anyio.sleep(faults.delay_s)
-    if faults.down or standin.chance.happens(faults.drop_ratio):
-        return standin.outage.break_answer(request)
+    if faults.down or standin.rng.draw(faults.drop_ratio):
+        return standin.server.abort_connection(request)
     path = request.url.path
     try:
         answer = CALLS[path](standin.state, standin.counts, body)
-    except CallFailed as exc:
-        return error_answer(exc)
-    if path not in READ_PATHS and loses_answer(standin):
-        return standin.outage.break_answer(request)
+    except KvCallError as exc:
+        return error_response(exc)
+    if path not in READ_PATHS and should_lose_answer(standin):
+        return standin.server.abort_connection(request)
     return JSONResponse(answer)
 
 
-def error_answer(exc: CallFailed) -> Response:
+def error_response(exc: KvCallError) -> Response:
     """Return an error as the gateway writes it."""
     message = str(exc)
     return JSONResponse(
@@ -113,15 +117,15 @@
     )
 
 
-def loses_answer(standin: KvStandin) -> bool:
+def should_lose_answer(standin: KvStandin) -> bool:
     """Tell whether the answer of an applied write gets lost."""
     if standin.faults.lose_answers > 0:
         standin.faults.lose_answers -= 1
         return True
-    return standin.chance.happens(standin.faults.lose_answers_ratio)
+    return standin.rng.draw(standin.faults.lose_answers_ratio)
 
 
-async def answer_watch(standin: KvStandin, request: Request) -> Response:
+async def handle_watch(standin: KvStandin, request: Request) -> Response:
     """Open a watch, one JSON object a line."""
     body = await request.json()
     if standin.faults.delay_s:
@@ -131,9 +135,9 @@
     return StreamingResponse(
         watch_lines(
             standin,
-            decode(create, 'key'),
-            decode(create, 'range_end'),
-            number(create, 'start_revision'),
+            bytes_field(create, 'key'),
+            bytes_field(create, 'range_end'),
+            int_field(create, 'start_revision'),
         ),
         media_type='application/json',
     )
@@ -165,7 +169,7 @@
                 }
                 yield watch_line(state, fields)
                 return
-            events = matching(state, key, range_end, next_revision)
+            events = events_in_range(state, key, range_end, next_revision)
             next_revision = state.revision + 1
             if events:
                 rows = [event_body(one) for one in events]
@@ -175,7 +179,7 @@
         standin.counts.open_watches -= 1
 
 
-def matching(
+def events_in_range(
     state: KvState,
     key: bytes,
     range_end: bytes,
@@ -201,10 +205,10 @@
     """Return the HTTP app of a stand-in."""
 
     async def call(request: Request) -> Response:
-        return await answer_call(standin, request)
+        return await handle_call(standin, request)
 
     async def watch(request: Request) -> Response:
-        return await answer_watch(standin, request)
+        return await handle_watch(standin, request)
 
     routes = [Route(path, call, methods=['POST']) for path in CALLS]
     routes.append(Route('/v3/watch', watch, methods=['POST']))
@@ -219,8 +223,8 @@
         faults,
         KvCounts(),
         KvState(),
-        Outage(lambda: faults.down),
-        Chance(options.seed),
+        InterruptibleServer(lambda: faults.down),
+        SeededRandom(options.seed),
     )
 
 
@@ -234,10 +238,10 @@
     async with anyio.create_task_group() as group:
         group.start_soon(expire_leases, standin)
         await group.start(
-            standin.outage.serve,
+            standin.server.serve,
             make_app(standin),
             options.address,
         )
         task_status.started(standin)
-        await standin.outage.stopped.wait()
+        await standin.server.stopped.wait()
         group.cancel_scope.cancel()
--- a/src/quetzaldyke/standins/kv_calls.py
+++ b/src/quetzaldyke/standins/kv_calls.py
@@ -48,7 +48,7 @@
         }
 
 
-class CallFailed(Exception):
+class KvCallError(Exception):
     """A call is answered with an error of the protocol."""
 
     def __init__(self, status: int, code: int, message: str) -> None:
@@ -58,17 +58,17 @@
         self.code = code
 
 
-def encode(raw: bytes) -> str:
+def base64_text(raw: bytes) -> str:
     """Return bytes as the gateway writes them."""
     return base64.b64encode(raw).decode()
 
 
-def decode(body: Body, name: str) -> bytes:
+def bytes_field(body: Body, name: str) -> bytes:
     """Return a bytes field of a body."""
     return base64.b64decode(body.get(name, ''))
 
 
-def number(body: Body, name: str) -> int:
+def int_field(body: Body, name: str) -> int:
     """Return an integer field; the gateway accepts strings and numbers."""
     return int(body.get(name, 0))
 
@@ -76,11 +76,11 @@
 def kv_body(kv: KeyValue) -> Body:
     """Return a key as JSON; like the gateway, without zero fields."""
     fields: Body = {
-        'key': encode(kv.key),
+        'key': base64_text(kv.key),
         'create_revision': str(kv.create_revision),
         'mod_revision': str(kv.mod_revision),
         'version': str(kv.version),
-        'value': encode(kv.value),
+        'value': base64_text(kv.value),
         'lease': str(kv.lease),
     }
     return {
@@ -108,7 +108,9 @@
 def do_range(state: KvState, counts: KvCounts, body: Body) -> Body:
     """Read a key or a range."""
     counts.calls['range'] += 1
-    found = state.select(decode(body, 'key'), decode(body, 'range_end'))
+    found = state.select(
+        bytes_field(body, 'key'), bytes_field(body, 'range_end')
+    )
     return {
         'header': header(state),
         'kvs': [kv_body(one) for one in found],
@@ -123,38 +125,38 @@
     kind = 'put' if 'request_put' in operation else 'delete'
     counts.calls[kind] += 1
     if compare.get('target') != 'MOD' or compare.get('result') != 'EQUAL':
-        raise CallFailed(400, 3, 'only MOD EQUAL is supported')
-    revision = state.mod_revision(decode(compare, 'key'))
+        raise KvCallError(400, 3, 'only MOD EQUAL is supported')
+    revision = state.mod_revision(bytes_field(compare, 'key'))
     put = operation.get('request_put')
     if put is not None:
         check_put(state, put)
-    if revision != number(compare, 'mod_revision'):
+    if revision != int_field(compare, 'mod_revision'):
         counts.conflicts += 1
         return {'header': header(state)}
     if put is not None:
         state.put(
-            decode(put, 'key'),
-            decode(put, 'value'),
-            number(put, 'lease'),
+            bytes_field(put, 'key'),
+            bytes_field(put, 'value'),
+            int_field(put, 'lease'),
         )
     else:
-        state.delete(decode(operation['request_delete_range'], 'key'))
+        state.delete(bytes_field(operation['request_delete_range'], 'key'))
     return {'header': header(state), 'succeeded': True}
 
 
 def check_put(state: KvState, put: Body) -> None:
     """Refuse a large value and an unknown lease."""
-    if len(decode(put, 'value')) > MAX_VALUE_BYTES:
-        raise CallFailed(400, 3, 'etcdserver: request is too large')
-    lease_id = number(put, 'lease')
+    if len(bytes_field(put, 'value')) > MAX_VALUE_BYTES:
+        raise KvCallError(400, 3, 'etcdserver: request is too large')
+    lease_id = int_field(put, 'lease')
     if lease_id and lease_id not in state.leases:
-        raise CallFailed(404, 5, 'etcdserver: requested lease not found')
+        raise KvCallError(404, 5, 'etcdserver: requested lease not found')
 
 
 def do_grant(state: KvState, counts: KvCounts, body: Body) -> Body:
     """Create a lease."""
     counts.calls['lease_grant'] += 1
-    lease = state.grant(number(body, 'TTL'))
+    lease = state.grant(int_field(body, 'TTL'))
     return {
         'header': header(state),
         'ID': str(lease.lease_id),
@@ -165,7 +167,7 @@
 def do_keep_alive(state: KvState, counts: KvCounts, body: Body) -> Body:
     """Extend a lease; a lapsed one is answered without TTL."""
     counts.calls['lease_keepalive'] += 1
-    ttl_s = state.keep_alive(number(body, 'ID'))
+    ttl_s = state.keep_alive(int_field(body, 'ID'))
     result: Body = {'header': header(state), 'ID': str(body['ID'])}
     if ttl_s:
         result['TTL'] = str(ttl_s)
@@ -175,8 +177,8 @@
 def do_revoke(state: KvState, counts: KvCounts, body: Body) -> Body:
     """End a lease."""
     counts.calls['lease_revoke'] += 1
-    if not state.revoke(number(body, 'ID')):
-        raise CallFailed(404, 5, 'etcdserver: requested lease not found')
+    if not state.revoke(int_field(body, 'ID')):
+        raise KvCallError(404, 5, 'etcdserver: requested lease not found')
     return {'header': header(state)}
 
 
--- a/src/quetzaldyke/standins/kv_state.py
+++ b/src/quetzaldyke/standins/kv_state.py
@@ -87,7 +87,7 @@
     def put(self, key: bytes, value: bytes, lease_id: int) -> None:
         """Write a key at the next revision."""
         old = self.keys.get(key)
-        self.detach(old)
+        self.detach_from_lease(old)
         self.revision += 1
         written = KeyValue(
             key,
@@ -100,25 +100,25 @@
         self.keys[key] = written
         if lease_id:
             self.leases[lease_id].keys.add(key)
-        self.note(KeyEvent(written, deleted=False))
+        self.record_event(KeyEvent(written, deleted=False))
 
     def delete(self, key: bytes) -> bool:
         """Delete a key at the next revision; False when it is absent."""
         old = self.keys.pop(key, None)
         if old is None:
             return False
-        self.detach(old)
+        self.detach_from_lease(old)
         self.revision += 1
-        gone = KeyValue(key, b'', 0, self.revision, 0)
-        self.note(KeyEvent(gone, deleted=True))
+        deleted_kv = KeyValue(key, b'', 0, self.revision, 0)
+        self.record_event(KeyEvent(deleted_kv, deleted=True))
         return True
 
-    def detach(self, old: KeyValue | None) -> None:
+    def detach_from_lease(self, old: KeyValue | None) -> None:
         """Remove a key's former value from its lease."""
         if old is not None and old.lease in self.leases:
             self.leases[old.lease].keys.discard(old.key)
 
-    def note(self, event: KeyEvent) -> None:
+    def record_event(self, event: KeyEvent) -> None:
         """Append to the history and wake the watches."""
         self.history.append(event)
         self.history_bytes += event.size
@@ -169,14 +169,14 @@
         `early_s` is a fault: leases end that long before their time.
         """
         due_s = self.now() + early_s
-        over = [
+        expired = [
             lease.lease_id
             for lease in self.leases.values()
             if lease.expires_s <= due_s
         ]
-        for lease_id in over:
+        for lease_id in expired:
             self.revoke(lease_id)
-        return over
+        return expired
 
 
 def in_range(name: bytes, key: bytes, range_end: bytes) -> bool:
--- a/src/quetzaldyke/standins/platform_endpoint.py
+++ b/src/quetzaldyke/standins/platform_endpoint.py
@@ -83,15 +83,15 @@
     runs: list[RunRecord] = field(default_factory=list)
     running: int = 0
     queued: int = 0
-    most_running: int = 0
-    born_ms: int = field(default_factory=lambda: int(time.time() * MS_IN_S))
-    free: anyio.Event = field(default_factory=anyio.Event)
+    peak_running: int = 0
+    started_ms: int = field(default_factory=lambda: int(time.time() * MS_IN_S))
+    slot_freed: anyio.Event = field(default_factory=anyio.Event)
 
     def routes(self) -> list[Route]:
         """Return the routes of tests and of callers."""
         return [
             Route('/faults', self.set_faults, methods=['POST']),
-            Route('/runs', self.show_runs),
+            Route('/runs', self.get_runs),
             Route('/{path:path}', self.serve, methods=list(METHODS)),
         ]
 
@@ -101,7 +101,7 @@
             setattr(self.faults, name, setting)
         return Response()
 
-    async def show_runs(self, request: Request) -> Response:
+    async def get_runs(self, request: Request) -> Response:
         """Show every run so far."""
         rows = [
             {
@@ -114,7 +114,7 @@
             for one in self.runs
         ]
         return Response(
-            orjson.dumps({'runs': rows, 'most': self.most_running}),
+            orjson.dumps({'runs': rows, 'most': self.peak_running}),
             media_type='application/json',
         )
 
@@ -133,7 +133,7 @@
             status = 503 if request_id else 400
             return Response(status_code=status, headers={'Not-Executed': '1'})
         body = await request.body()
-        await self.take_slot()
+        await self.acquire_slot()
         first = int(request.headers.get('last-event-id', '0')) + 1
         self.runs.append(
             RunRecord(
@@ -146,34 +146,34 @@
         )
         headers = {'Attempt-Id': request_id, 'Response-Signature': 'proof'}
         if self.faults.fail:
-            self.give_slot()
+            self.release_slot()
             return Response(status_code=500, headers=headers)
         if self.options.plain:
-            return await self.plain_answer(request_id, headers)
+            return await self.plain_response(request_id, headers)
         return StreamingResponse(
             self.stream(request_id, first),
             headers=headers,
             media_type='text/event-stream',
         )
 
-    async def take_slot(self) -> None:
+    async def acquire_slot(self) -> None:
         """Wait for a slot."""
         self.queued += 1
         try:
             while self.running >= self.options.slots:
-                await self.free.wait()
+                await self.slot_freed.wait()
         finally:
             self.queued -= 1
         self.running += 1
-        self.most_running = max(self.most_running, self.running)
+        self.peak_running = max(self.peak_running, self.running)
 
-    def give_slot(self) -> None:
+    def release_slot(self) -> None:
         """Free a slot."""
         self.running -= 1
-        self.free.set()
-        self.free = anyio.Event()
+        self.slot_freed.set()
+        self.slot_freed = anyio.Event()
 
-    async def plain_answer(
+    async def plain_response(
         self,
         request_id: str,
         headers: dict[str, str],
@@ -183,7 +183,7 @@
             await anyio.sleep(self.options.event_ms / MS_IN_S)
             return Response(f'done {request_id}', headers=headers)
         finally:
-            self.give_slot()
+            self.release_slot()
 
     async def stream(
         self,
@@ -199,7 +199,7 @@
                 if broken and number - first + 1 >= broken:
                     raise ConnectionResetError('broken off on purpose')
         finally:
-            self.give_slot()
+            self.release_slot()
 
 
 def event_of(request_id: str, number: int) -> bytes:
@@ -211,10 +211,10 @@
     return f'id: {number}\ndata: {request_id}/{number}\n\n'.encode()
 
 
-def whole_output(request_id: str, events: int) -> str:
+def expected_output(request_id: str, events: int) -> str:
     r"""Return the data of all events of a request.
 
-    >>> whole_output('r', 2)
+    >>> expected_output('r', 2)
     'r/1\nr/2'
     """
     lines = (f'{request_id}/{number}' for number in range(1, events + 1))
@@ -227,36 +227,38 @@
     async with httpcore.AsyncConnectionPool() as pool:
         while True:
             try:
-                lease = await beat(standin, pool, lease)
+                lease = await renew_registration(standin, pool, lease)
             except (httpcore.NetworkError, httpcore.ProtocolError, OSError):
                 lease = 0
             await anyio.sleep(HEARTBEAT_S)
 
 
-async def beat(
+async def renew_registration(
     standin: PlatformEndpointStandin,
     pool: httpcore.AsyncConnectionPool,
     lease: int,
 ) -> int:
     """Renew the lease or write the entry anew; return the lease."""
     if lease and not standin.faults.draining:
-        kept = await call(standin, pool, f'kv-keep/{lease}', {})
+        kept = await call_store(standin, pool, f'kv-keep/{lease}', {})
         if kept is not None:
             return lease
-    granted = await call(standin, pool, 'kv-lease', {'ttl-ms': LEASE_S * 1000})
+    granted = await call_store(
+        standin, pool, 'kv-lease', {'ttl-ms': LEASE_S * 1000}
+    )
     if granted is None:
         return 0
     lease = granted['lease']
     put = {
         'key': f'servers/{standin.options.endpoint_id}',
-        'value': base64.b64encode(entry_of(standin)).decode('ascii'),
+        'value': base64.b64encode(registration_entry(standin)).decode('ascii'),
         'lease': lease,
     }
-    written = await call(standin, pool, 'kv-txn', {'puts': [put]})
+    written = await call_store(standin, pool, 'kv-txn', {'puts': [put]})
     return lease if written is not None else 0
 
 
-def entry_of(standin: PlatformEndpointStandin) -> bytes:
+def registration_entry(standin: PlatformEndpointStandin) -> bytes:
     """Return the entry of an endpoint."""
     options = standin.options
     return orjson.dumps(
@@ -269,12 +271,12 @@
             'state': 'draining' if standin.faults.draining else 'ready',
             'cold-left-ms': 0,
             'call-seq': 0,
-            'born': standin.born_ms,
+            'born': standin.started_ms,
         },
     )
 
 
-async def call(
+async def call_store(
     standin: PlatformEndpointStandin,
     pool: httpcore.AsyncConnectionPool,
     path: str,
--- a/src/quetzaldyke/standins/platform_store.py
+++ b/src/quetzaldyke/standins/platform_store.py
@@ -66,11 +66,11 @@
 
 
 @dataclass(slots=True)
-class HeldLease:
+class StoreLease:
     """One lease."""
 
     ttl_s: float
-    ends_s: float
+    expires_s: float
 
 
 @dataclass(slots=True)
@@ -87,11 +87,11 @@
     now: Callable[[], float] = time.monotonic
     items: dict[str, StoredItem] = field(default_factory=dict)
     events: list[StoredEvent] = field(default_factory=list)
-    leases: dict[int, HeldLease] = field(default_factory=dict)
+    leases: dict[int, StoreLease] = field(default_factory=dict)
     revision: int = 0
     next_lease: int = 1
     # Changes up to this revision are forgotten.
-    forgotten: int = 0
+    compacted: int = 0
     changed: anyio.Event = field(default_factory=anyio.Event)
 
     def put(self, key: str, value: bytes, lease: int) -> int:
@@ -106,25 +106,25 @@
         created = known.created if known else self.revision
         item = StoredItem(value, self.revision, created, lease)
         self.items[key] = item
-        self.note(StoredEvent(key, self.revision, item))
+        self.record_event(StoredEvent(key, self.revision, item))
 
     def remove(self, key: str) -> None:
         """Remove a key in the present revision."""
         if self.items.pop(key, None) is not None:
-            self.note(StoredEvent(key, self.revision, None))
+            self.record_event(StoredEvent(key, self.revision, None))
 
-    def note(self, event: StoredEvent) -> None:
+    def record_event(self, event: StoredEvent) -> None:
         """Keep a change and wake the watches."""
         self.events.append(event)
         if len(self.events) > HISTORY_EVENTS:
-            self.forgotten = self.events.pop(0).revision
+            self.compacted = self.events.pop(0).revision
         self.changed.set()
         self.changed = anyio.Event()
 
     def forget_history(self) -> None:
         """Drop all history."""
         self.events.clear()
-        self.forgotten = self.revision
+        self.compacted = self.revision
         self.changed.set()
         self.changed = anyio.Event()
 
@@ -140,7 +140,7 @@
         """Create a lease."""
         lease = self.next_lease
         self.next_lease += 1
-        self.leases[lease] = HeldLease(ttl_s, self.now() + ttl_s)
+        self.leases[lease] = StoreLease(ttl_s, self.now() + ttl_s)
         return lease
 
     def revoke_lease(self, lease: int) -> None:
@@ -152,11 +152,11 @@
         for key in keys:
             self.remove(key)
 
-    def lapse(self) -> None:
+    def expire_leases(self) -> None:
         """End the leases whose time is over."""
         now_s = self.now()
         for lease, held in list(self.leases.items()):
-            if held.ends_s <= now_s:
+            if held.expires_s <= now_s:
                 self.revoke_lease(lease)
 
     def transact(self, call: dict[str, Any]) -> tuple[int, dict[str, Any]]:
@@ -220,52 +220,60 @@
         """Return the routes of the protocol and of the faults."""
         base = '/quetzaldyke'
         return [
-            Route(f'{base}/kv-key', self.guard(self.read_key)),
-            Route(f'{base}/kv-range', self.guard(self.read_range)),
-            Route(f'{base}/kv-watch', self.guard(self.watch)),
-            Route(f'{base}/kv-txn', self.guard(self.txn), methods=['POST']),
-            Route(f'{base}/kv-lease', self.guard(self.lease), methods=['POST']),
+            Route(f'{base}/kv-key', self.with_faults(self.read_key)),
+            Route(f'{base}/kv-range', self.with_faults(self.read_range)),
+            Route(f'{base}/kv-watch', self.with_faults(self.watch)),
+            Route(
+                f'{base}/kv-txn',
+                self.with_faults(self.run_transaction),
+                methods=['POST'],
+            ),
+            Route(
+                f'{base}/kv-lease',
+                self.with_faults(self.lease),
+                methods=['POST'],
+            ),
             Route(
                 f'{base}/kv-keep/{{lease:int}}',
-                self.guard(self.keep),
+                self.with_faults(self.renew_lease),
                 methods=['POST'],
             ),
             Route(
                 f'{base}/kv-lease-end/{{lease:int}}',
-                self.guard(self.lease_end),
+                self.with_faults(self.end_lease),
                 methods=['DELETE'],
             ),
             Route('/faults', self.set_faults, methods=['POST']),
         ]
 
-    def guard(self, handler: Any) -> Any:
+    def with_faults(self, handler: Any) -> Any:
         """Apply the faults to a handler."""
 
-        async def guarded(request: Request) -> Response:
+        async def handle_with_faults(request: Request) -> Response:
             self.calls += 1
             if self.faults.refuse:
-                return answer({'error': 'refused'}, 503)
+                return json_response({'error': 'refused'}, 503)
             if self.faults.delay_s:
                 await anyio.sleep(self.faults.delay_s)
             response: Response = await handler(request)
             if self.faults.refuse:
                 # A watch that waited when the outage began hears nothing.
-                return answer({'error': 'refused'}, 503)
+                return json_response({'error': 'refused'}, 503)
             if self.faults.lose_answers and request.method == 'POST':
                 self.faults.lose_answers -= 1
                 raise ConnectionResetError('the answer is lost on purpose')
             return response
 
-        return guarded
+        return handle_with_faults
 
     async def read_key(self, request: Request) -> Response:
         """Serve one key."""
         key = request.query_params['key']
         if key not in self.state.items:
-            return answer({'store-revision': self.state.revision}, 404)
+            return json_response({'store-revision': self.state.revision}, 404)
         shown = self.state.render(key)
         shown['store-revision'] = self.state.revision
-        return answer(shown)
+        return json_response(shown)
 
     async def read_range(self, request: Request) -> Response:
         """Serve the keys of a prefix in one page."""
@@ -277,7 +285,7 @@
             if key.startswith(prefix) and key > after
         )
         items = [self.state.render(key) for key in keys]
-        return answer(
+        return json_response(
             {
                 'items': items,
                 'has-more': False,
@@ -292,42 +300,42 @@
         wait_s = int(request.query_params['wait-ms']) / MS_IN_S
         with anyio.move_on_after(wait_s):
             while not self.state.events_after(prefix, after):
-                if after < self.state.forgotten:
-                    return answer({'error': 'history is gone'}, 410)
+                if after < self.state.compacted:
+                    return json_response({'error': 'history is gone'}, 410)
                 await self.state.changed.wait()
-        if after < self.state.forgotten:
-            return answer({'error': 'history is gone'}, 410)
+        if after < self.state.compacted:
+            return json_response({'error': 'history is gone'}, 410)
         events = self.state.events_after(prefix, after)
-        return answer(
+        return json_response(
             {
                 'events': [render_event(event) for event in events],
                 'store-revision': self.state.revision,
             },
         )
 
-    async def txn(self, request: Request) -> Response:
+    async def run_transaction(self, request: Request) -> Response:
         """Apply a transaction."""
         status, body = self.state.transact(orjson.loads(await request.body()))
-        return answer(body, status)
+        return json_response(body, status)
 
     async def lease(self, request: Request) -> Response:
         """Create a lease."""
         call = orjson.loads(await request.body())
         lease = self.state.grant(call['ttl-ms'] / MS_IN_S)
-        return answer({'lease': lease, 'ttl-ms': call['ttl-ms']})
+        return json_response({'lease': lease, 'ttl-ms': call['ttl-ms']})
 
-    async def keep(self, request: Request) -> Response:
+    async def renew_lease(self, request: Request) -> Response:
         """Renew a lease."""
         held = self.state.leases.get(request.path_params['lease'])
         if held is None:
-            return answer({'error': 'no such lease'}, 404)
-        held.ends_s = self.state.now() + held.ttl_s
-        return answer({'ttl-ms': int(held.ttl_s * MS_IN_S)})
+            return json_response({'error': 'no such lease'}, 404)
+        held.expires_s = self.state.now() + held.ttl_s
+        return json_response({'ttl-ms': int(held.ttl_s * MS_IN_S)})
 
-    async def lease_end(self, request: Request) -> Response:
+    async def end_lease(self, request: Request) -> Response:
         """End a lease."""
         self.state.revoke_lease(request.path_params['lease'])
-        return answer({})
+        return json_response({})
 
     async def set_faults(self, request: Request) -> Response:
         """Switch faults on and off."""
@@ -339,19 +347,19 @@
                 self.state.revoke_lease(lease)
         for name, setting in wanted.items():
             setattr(self.faults, name, setting)
-        return answer({'calls': self.calls})
+        return json_response({'calls': self.calls})
 
 
-def answer(body: object, status: int = 200) -> Response:
+def json_response(body: object, status: int = 200) -> Response:
     """Return a JSON answer."""
     return Response(orjson.dumps(body), status, media_type=JSON)
 
 
-async def lapse_leases(standin: PlatformStoreStandin) -> None:
+async def poll_expired_leases(standin: PlatformStoreStandin) -> None:
     """End leases as their time is over."""
     while True:
         await anyio.sleep(LEASE_CHECK_S)
-        standin.state.lapse()
+        standin.state.expire_leases()
 
 
 async def run_platform_store(
@@ -363,6 +371,6 @@
     await serve_standin(
         PlatformStoreStandin(options),
         options.address,
-        lapse_leases,
+        poll_expired_leases,
         task_status,
     )
--- a/src/quetzaldyke/standins/service.py
+++ b/src/quetzaldyke/standins/service.py
@@ -17,7 +17,11 @@
 from starlette.responses import JSONResponse, Response
 from starlette.routing import Route
 
-from quetzaldyke.standins.faults import Chance, Outage, control_routes
+from quetzaldyke.standins.faults import (
+    InterruptibleServer,
+    SeededRandom,
+    control_routes,
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,31 +54,31 @@
 
     options: ServiceOptions
     faults: ServiceFaults
-    outage: Outage
-    chance: Chance
+    server: InterruptibleServer
+    rng: SeededRandom
     executions: Counter[str] = field(default_factory=Counter)
     running: int = 0
 
     @property
     def address(self) -> str:
         """Return the bound address."""
-        return self.outage.address
+        return self.server.address
 
     @property
     def stopping(self) -> anyio.Event:
         """Return the event that stops the stand-in."""
-        return self.outage.stopping
+        return self.server.stopping
 
 
-def loses_answer(service: ServiceStandin) -> bool:
+def should_lose_answer(service: ServiceStandin) -> bool:
     """Tell whether the answer to a booking gets lost."""
     if service.faults.lose_answers > 0:
         service.faults.lose_answers -= 1
         return True
-    return service.chance.happens(service.faults.lose_answers_ratio)
+    return service.rng.draw(service.faults.lose_answers_ratio)
 
 
-async def book(service: ServiceStandin, request: Request) -> Response:
+async def create_booking(service: ServiceStandin, request: Request) -> Response:
     """Make a booking and count it by its id."""
     body = await request.json()
     booking_id = body.get('id') if isinstance(body, dict) else None
@@ -87,8 +91,8 @@
     finally:
         service.running -= 1
     service.executions[booking_id] += 1
-    if loses_answer(service):
-        return service.outage.break_answer(request)
+    if should_lose_answer(service):
+        return service.server.abort_connection(request)
     answer: dict[str, Any] = {
         'id': booking_id,
         'booked_by': service.options.name,
@@ -101,7 +105,7 @@
     """Return the HTTP app of a stand-in."""
 
     async def post_booking(request: Request) -> Response:
-        return await book(service, request)
+        return await create_booking(service, request)
 
     async def roster(_request: Request) -> Response:
         await anyio.sleep(service.faults.delay_s)
@@ -143,15 +147,15 @@
     service = ServiceStandin(
         options,
         faults,
-        Outage(lambda: faults.down),
-        Chance(options.seed),
+        InterruptibleServer(lambda: faults.down),
+        SeededRandom(options.seed),
     )
     async with anyio.create_task_group() as group:
         await group.start(
-            service.outage.serve,
+            service.server.serve,
             make_app(service),
             options.address,
         )
         task_status.started(service)
-        await service.outage.stopped.wait()
+        await service.server.stopped.wait()
         group.cancel_scope.cancel()
--- a/src/quetzaldyke/standins/serving.py
+++ b/src/quetzaldyke/standins/serving.py
@@ -30,7 +30,7 @@
 async def serve_standin(
     standin: StandinT,
     address: str,
-    work: Callable[[StandinT], Coroutine[Any, Any, None]] | None,
+    background_task: Callable[[StandinT], Coroutine[Any, Any, None]] | None,
     task_status: TaskStatus[StandinT],
 ) -> None:
     """Serve and work beside it until `stopping` is set."""
@@ -42,8 +42,8 @@
             standin.stopping,
         )
         standin.address = http.address
-        if work is not None:
-            group.start_soon(work, standin)
+        if background_task is not None:
+            group.start_soon(background_task, standin)
         task_status.started(standin)
         await standin.stopping.wait()
         group.cancel_scope.cancel()
--- a/tests/soak_history.py
+++ b/tests/soak_history.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Final, Literal
 
-from quetzaldyke.standins.platform_endpoint import event_of, whole_output
+from quetzaldyke.standins.platform_endpoint import event_of, expected_output
 
 # From the end of a job to the last start of one of its items, and how long
 # a process may have been paused meanwhile.
@@ -162,7 +162,7 @@
             f'{job.job_id}: output of {item} is wrong'
             for item, state, output in job.results.values()
             if state == 'completed'
-            and output != whole_output(item, self.events)
+            and output != expected_output(item, self.events)
         ]
 
     def check_end(self, job: JobHistory) -> list[str]:
--- a/tests/test_gateway_processes.py
+++ b/tests/test_gateway_processes.py
@@ -11,7 +11,7 @@
 import orjson
 
 from gateway_fleet import GatewayFleet
-from quetzaldyke.standins.platform_endpoint import event_of, whole_output
+from quetzaldyke.standins.platform_endpoint import event_of, expected_output
 
 EVENTS = 30
 Scenario = Callable[[GatewayFleet], Awaitable[None]]
@@ -185,7 +185,8 @@
                 await anyio.sleep(0.1)
         assert {one['id'] for one in results} == {one['id'] for one in items}
         assert all(
-            one['output'] == whole_output(one['id'], EVENTS) for one in results
+            one['output'] == expected_output(one['id'], EVENTS)
+            for one in results
         )
         status, content = await fleet.call(
             other,
--- a/tests/test_kv_http.py
+++ b/tests/test_kv_http.py
@@ -73,10 +73,10 @@
         # Leaves an open connection that the outage breaks.
         assert await store.get('a') == Ok(None)
         kv.faults.down = True
-        await wait_until(lambda: not kv.outage.listening)
+        await wait_until(lambda: not kv.server.listening)
         assert kind_of(await store.put_if('a', b'', 0)) == 'unavailable'
         kv.faults.down = False
-        await wait_until(lambda: kv.outage.listening)
+        await wait_until(lambda: kv.server.listening)
         assert await store.get('a') == Ok(None)
 
     run(steps)
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -181,7 +181,7 @@
 def test_prefix_hashes_match_those_of_the_engine(words: int) -> None:
     """Guards against hashes that never match the engine's."""
     prompt = ' '.join(f'w{number}' for number in range(words))
-    assert list(prefix_hashes(prompt)) == engine_text.prefix_names(prompt)
+    assert list(prefix_hashes(prompt)) == engine_text.prefix_hashes(prompt)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -8,7 +8,7 @@
 import anyio
 import pytest
 
-from quetzaldyke.standins.platform_endpoint import event_of, whole_output
+from quetzaldyke.standins.platform_endpoint import event_of, expected_output
 from soak import run_seed
 from soak_history import Attempt, History, JobHistory, Run
 
@@ -72,7 +72,7 @@
 def job_of(**changes: object) -> History:
     """Return a history with one job of one item that was done."""
     job = JobHistory('j', ['j-0'], accepted=True, submits=1)
-    job.results[0] = ('j-0', 'completed', whole_output('j-0', EVENTS))
+    job.results[0] = ('j-0', 'completed', expected_output('j-0', EVENTS))
     for name, setting in changes.items():
         setattr(job, name, setting)
     runs = [Run('j-0', 'e1', 1, 100.0)]
