--- a/src/quetzaldyke/standins/__init__.py
+++ b/src/quetzaldyke/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small fakes of the platform, run as ordinary processes."""
+"""Simulates the platform's services as ordinary processes."""
--- a/src/quetzaldyke/standins/engine.py
+++ b/src/quetzaldyke/standins/engine.py
@@ -1,8 +1,7 @@
-"""Stand-in for a model engine.
+"""Simulates a model engine for tests and benchmarks.
 
-Speaks the usual inference protocol with the vendor fields of the design's
-section 17. All its timing and faults are options, so that tests and the
-bench can shape it.
+Serves the usual inference protocol with the vendor extensions of section 17
+of the design. Timing is configurable, and faults can be switched at run time.
 """
 
 from __future__ import annotations
@@ -42,7 +41,7 @@
 
 @dataclass(slots=True)
 class EngineStandin:
-    """A running stand-in."""
+    """A simulated engine: its options, faults, state and HTTP server."""
 
     options: EngineOptions
     faults: EngineFaults
@@ -59,17 +58,17 @@
 
     @property
     def stopping(self) -> anyio.Event:
-        """Return the event that stops the stand-in."""
+        """Return the event that stops the stand-in once it is set."""
         return self.server.stopping
 
 
 def error_response(status: int, code: str, message: str) -> Response:
-    """Return an error in the protocol's shape."""
+    """Return an error response in the format of the protocol."""
     return JSONResponse({'error': {'code': code, 'message': message}}, status)
 
 
 def usage_body(stream: EngineStream) -> Body:
-    """Return the usage; completion tokens include those resumed after."""
+    """Return token usage; completion tokens include the resumed-from ones."""
     return {
         'prompt_tokens': stream.prompt_words,
         'completion_tokens': stream.next_token,
@@ -81,7 +80,7 @@
 def choice_body(
     path: str, text: str, reason: str | None, complete_answer: bool
 ) -> Body:
-    """Return the one choice of a chunk or of a whole answer."""
+    """Return the only choice of a streamed chunk or complete response."""
     choice: Body = {'index': 0, 'finish_reason': reason}
     if path == TEXT_PATH:
         choice['text'] = text
@@ -98,7 +97,7 @@
     stream: EngineStream,
     choice: Body,
 ) -> Body:
-    """Return a chunk or a whole answer around a choice."""
+    """Return the body of a streamed chunk or complete response."""
     kind = 'chat.completion' if path == CHAT_PATH else 'text_completion'
     return {
         'id': stream.request_id,
@@ -113,7 +112,7 @@
     path: str,
     stream: EngineStream,
 ) -> AsyncIterator[str]:
-    """Yield the chunks; a stream that was broken off has no end mark."""
+    """Yield server-sent events; an aborted stream has no `[DONE]` event."""
     try:
         async for index in stream.source:
             text = engine_text.token_text(stream.prompt, index)
@@ -133,7 +132,7 @@
 
 
 def end_disconnected(engine: EngineStandin, stream: EngineStream) -> None:
-    """End a stream whose connection has gone."""
+    """End an unfinished stream after a disconnect, unless orphans are kept."""
     if not engine.options.keep_orphans and not stream.finish_reason:
         engine.batch.end(stream)
 
@@ -143,7 +142,7 @@
     request: Request,
     stream: EngineStream,
 ) -> Response:
-    """Return the answer in one piece, unless the client leaves."""
+    """Return the complete response; abort if the stream does not finish."""
     path = request.url.path
     texts: list[str] = []
 
@@ -169,7 +168,10 @@
 async def create_completion(
     engine: EngineStandin, request: Request
 ) -> Response:
-    """Answer a completion or chat request."""
+    """Run a text or chat completion request.
+
+    Returns 400 for an invalid prompt and 409 if the request id is in use.
+    """
     body = await request.json()
     prompt = engine_text.prompt_text(body)
     if engine_text.INVALID_WORD in prompt:
@@ -195,12 +197,12 @@
 
 
 async def get_health(_engine: EngineStandin, _request: Request) -> Response:
-    """Tell that the engine runs."""
+    """Report that the engine is running."""
     return JSONResponse({'status': 'ok'})
 
 
 async def list_models(engine: EngineStandin, _request: Request) -> Response:
-    """List the loaded model."""
+    """List the loaded model; omit a model that is still loading."""
     state = engine.orders
     loaded = {'id': state.model, 'object': 'model', 'version': state.version}
     listed = [loaded] if state.model and not state.loading else []
@@ -208,19 +210,19 @@
 
 
 async def list_requests(engine: EngineStandin, _request: Request) -> Response:
-    """List the requests that run or wait."""
+    """List the ids of running and waiting requests."""
     return JSONResponse({'running': engine.batch.ids()})
 
 
 async def cancel_request(engine: EngineStandin, request: Request) -> Response:
-    """Cancel a request."""
+    """Cancel a running or waiting request; return 404 if unknown."""
     if engine.batch.cancel(request.path_params['id']):
         return JSONResponse({'cancelled': True})
     return error_response(404, 'no_request', 'no such request')
 
 
 async def export_cache(engine: EngineStandin, request: Request) -> Response:
-    """Return the KV cache of a request."""
+    """Export the KV cache of a request; return 404 if unknown."""
     prefixes = engine.batch.exports.get(request.path_params['id'])
     if prefixes is None:
         return error_response(404, 'no_request', 'no such request')
@@ -229,7 +231,10 @@
 
 
 async def import_cache(engine: EngineStandin, request: Request) -> Response:
-    """Adopt an exported KV cache of the same model."""
+    """Import an exported KV cache.
+
+    Returns 400 if it is malformed and 409 if it is of another model.
+    """
     try:
         model, prefixes = msgpack.unpackb(await request.body())
     except (ValueError, TypeError, msgpack.UnpackException):
@@ -243,18 +248,18 @@
 
 
 async def get_load(engine: EngineStandin, _request: Request) -> Response:
-    """Return the last load report, which lags."""
+    """Return the last load report, which can be out of date."""
     return JSONResponse(engine.load_report)
 
 
 async def get_cache_events(engine: EngineStandin, request: Request) -> Response:
-    """Return the cache events after a number."""
+    """Return the cache events after a given event number."""
     after = int(request.query_params.get('after', 0))
     return JSONResponse({'events': engine.batch.cache.events_after(after)})
 
 
 async def get_orders(engine: EngineStandin, _request: Request) -> Response:
-    """Return what the engine was ordered to be."""
+    """Return the state that results from the orders applied so far."""
     return JSONResponse(engine.orders.as_dict())
 
 
@@ -278,7 +283,7 @@
 
 
 def orders_route(engine: EngineStandin, group: TaskGroup) -> Route:
-    """Return the route that takes orders; they are carried out later."""
+    """Return the route that accepts orders; they are applied in `group`."""
 
     async def post_order(request: Request) -> Response:
         order = await request.json()
@@ -318,7 +323,7 @@
 
 
 def make_standin(options: EngineOptions) -> EngineStandin:
-    """Return a stand-in that is not yet served."""
+    """Return a stand-in that does not serve requests yet."""
     faults = EngineFaults()
     counts = EngineCounts()
     cache = PrefixCache(
@@ -339,14 +344,14 @@
 
 
 async def report_load(engine: EngineStandin) -> None:
-    """Renew the load report at its interval."""
+    """Update the load report periodically."""
     while True:
         engine.load_report = engine.batch.load()
         await anyio.sleep(engine.options.load_report_lag_s)
 
 
 async def reset_while_down(engine: EngineStandin) -> None:
-    """Lose all state while the process is gone."""
+    """Discard the engine state while the engine is down."""
     while True:
         if engine.batch.is_down:
             engine.batch.reset()
--- a/src/quetzaldyke/standins/engine_batch.py
+++ b/src/quetzaldyke/standins/engine_batch.py
@@ -1,7 +1,7 @@
-"""Continuous batching of the stand-in engine.
+"""Simulates the continuous batching of an engine.
 
-Streams are admitted first come, first served between steps; each step
-gives every running stream one token. There are no priorities.
+Streams are admitted between steps in order of arrival, without priorities.
+Each step generates one token for every running stream.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
     prefix_hashes,
 )
 
-# Finished or cancelled requests whose KV cache can still be exported.
+# Number of recent requests, also ended ones, whose KV cache can be exported.
 MAX_EXPORTS: Final = 256
 MS_IN_S: Final = 1000
 
 
 @dataclass(slots=True)
 class EngineStream:
-    """One request at the engine."""
+    """A request and the channel that carries its token indexes."""
 
     request_id: str
     prompt: str
@@ -43,18 +43,18 @@
     sink: MemoryObjectSendStream[int]
     source: MemoryObjectReceiveStream[int]
     cached_words: int = 0
-    # 'length' when complete; empty for a stream that was broken off.
+    # 'length' when complete; empty while running and for an aborted stream.
     finish_reason: str = ''
 
     @property
     def prompt_words(self) -> int:
-        """Return the words of the prompt."""
+        """Return the number of words in the prompt."""
         return len(self.prompt.split())
 
 
 @dataclass(slots=True)
 class EngineCounts:
-    """What the engine did since it was made; survives its crashes."""
+    """Counters since the engine was created; kept across its crashes."""
 
     requests: int = 0
     finished: int = 0
@@ -62,13 +62,13 @@
     crashes: int = 0
     steps: int = 0
     tokens: int = 0
-    # Tokens by request id, over all tries of the request on this engine.
+    # Tokens by request id, summed over all attempts on this engine.
     tokens_of: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class Batch:
-    """Streams of an engine that run and wait."""
+    """The running and waiting streams of an engine."""
 
     options: EngineOptions
     faults: EngineFaults
@@ -82,11 +82,11 @@
 
     @property
     def is_down(self) -> bool:
-        """Tell whether the engine's process is gone at the moment."""
+        """Return whether the engine is down, by a fault or after a crash."""
         return self.faults.down or time.monotonic() < self.crashed_until_s
 
     def ids(self) -> list[str]:
-        """Return the ids of all streams."""
+        """Return the request ids of running and waiting streams."""
         return [*self.running, *(one.request_id for one in self.waiting)]
 
     def submit(
@@ -96,7 +96,7 @@
         first_token: int,
         max_tokens: int,
     ) -> EngineStream:
-        """Queue a stream."""
+        """Queue a stream that starts at `first_token` and return it."""
         sink, source = anyio.create_memory_object_stream[int](math.inf)
         stream = EngineStream(
             request_id,
@@ -113,7 +113,7 @@
         return stream
 
     def admit(self) -> float:
-        """Start waiting streams; returns the time of their prefill in ms."""
+        """Start waiting streams and return their prefill time in ms."""
         prefill_words = 0
         while self.waiting and len(self.running) < self.options.max_streams:
             stream = self.waiting.popleft()
@@ -127,13 +127,13 @@
         return prefill_words * self.options.prefill_ms_per_token
 
     def record_export(self, stream: EngineStream) -> None:
-        """Remember what an export of a stream has to hold."""
+        """Keep the prefixes of a stream for a later cache export."""
         self.exports[stream.request_id] = stream.prefixes
         while len(self.exports) > MAX_EXPORTS:
             self.exports.popitem(last=False)
 
     async def step(self) -> None:
-        """Run one step over all running streams."""
+        """Admit waiting streams and run one step over all running ones."""
         prefill_ms = self.admit()
         options = self.options
         step_ms = options.step_ms + options.per_stream_ms * len(self.running)
@@ -147,7 +147,7 @@
             self.generate_token(stream)
 
     def generate_token(self, stream: EngineStream) -> None:
-        """Give a stream its next token and end it after the last one."""
+        """Generate the next token of a stream and end it after the last."""
         if stream.next_token < stream.max_tokens:
             stream.sink.send_nowait(stream.next_token)
             stream.next_token += 1
@@ -161,7 +161,7 @@
             self.end(stream)
 
     def end(self, stream: EngineStream) -> None:
-        """Remove a stream; its reader sees the end."""
+        """Remove a stream and close its channel."""
         if self.running.get(stream.request_id) is stream:
             self.running.pop(stream.request_id)
         if stream in self.waiting:
@@ -169,14 +169,14 @@
         stream.sink.close()
 
     def find(self, request_id: str) -> EngineStream | None:
-        """Return a running or waiting stream."""
+        """Return the running or waiting stream of a request, if any."""
         for stream in self.waiting:
             if stream.request_id == request_id:
                 return stream
         return self.running.get(request_id)
 
     def cancel(self, request_id: str) -> bool:
-        """Break a stream off; False when there is none of this id."""
+        """Abort a stream; return False if the request id is unknown."""
         stream = self.find(request_id)
         if stream is None:
             return False
@@ -185,7 +185,7 @@
         return True
 
     def reset(self) -> None:
-        """Break off all streams and forget the cache."""
+        """Abort all streams and clear the cache and the exports."""
         for request_id in self.ids():
             stream = self.find(request_id)
             if stream is not None:
@@ -194,13 +194,13 @@
         self.exports.clear()
 
     def crash(self) -> None:
-        """Die now and stay gone for the restart time."""
+        """Simulate a crash: reset, and stay down for the restart time."""
         self.counts.crashes += 1
         self.crashed_until_s = time.monotonic() + self.options.restart_s
         self.reset()
 
     async def run(self) -> None:
-        """Step while there is work, until cancelled."""
+        """Run steps while there are streams, until cancelled."""
         while True:
             if self.faults.stalled or not (self.running or self.waiting):
                 self.work_available = anyio.Event()
@@ -210,7 +210,7 @@
             await self.step()
 
     def load(self) -> dict[str, Any]:
-        """Return the load at this moment."""
+        """Return the current load report."""
         return {
             'running': len(self.running),
             'waiting': len(self.waiting),
--- a/src/quetzaldyke/standins/engine_cache.py
+++ b/src/quetzaldyke/standins/engine_cache.py
@@ -1,4 +1,4 @@
-"""Prefix cache of the stand-in engine, with its late and lossy events."""
+"""Simulates an engine's prefix cache, with delayed and dropped events."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """One change of the cache."""
+    """A prefix that was stored or evicted, visible from `visible_s` on."""
 
     number: int
     prefix: str
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class PrefixCache:
-    """Blocks in limited memory; the least recently used is evicted.
+    """A cache of prompt blocks with a fixed capacity and LRU eviction.
 
     >>> cache = PrefixCache(2, lambda: 0.0)
     >>> cache.store(['a', 'b'])
@@ -36,7 +36,7 @@
     capacity: int
     now: Callable[[], float]
     event_lag_s: float = 0.0
-    # Each event whose number is a multiple of this is lost; 0 loses none.
+    # Drops events whose number is a multiple of this; 0 drops none.
     drop_every: int = 0
     blocks: OrderedDict[str, None] = field(default_factory=OrderedDict)
     events: deque[CacheEvent] = field(
@@ -45,7 +45,7 @@
     next_number: int = 1
 
     def cached_prefix_count(self, prefixes: list[str]) -> int:
-        """Return how many leading blocks are cached."""
+        """Return the number of leading blocks that are cached."""
         count = 0
         for name in prefixes:
             if name not in self.blocks:
@@ -54,10 +54,10 @@
         return count
 
     def store(self, prefixes: list[str]) -> None:
-        """Cache the blocks of a prompt.
+        """Cache the blocks of a prompt and evict beyond the capacity.
 
-        Later blocks are useless without the earlier ones, so the earlier
-        ones count as used more recently.
+        A block is useless without the blocks before it, so earlier blocks
+        count as more recently used and are evicted later.
         """
         for name in reversed(prefixes):
             if name not in self.blocks:
@@ -69,12 +69,12 @@
             self.record_event(evicted, 'evicted')
 
     def clear(self) -> None:
-        """Lose everything, as at a crash: no events tell of it."""
+        """Discard blocks and events, as in a crash, without new events."""
         self.blocks.clear()
         self.events.clear()
 
     def record_event(self, prefix: str, kind: str) -> None:
-        """Record an event, or lose it."""
+        """Record an event, unless its number is one to be dropped."""
         event_number = self.next_number
         self.next_number += 1
         if self.drop_every and event_number % self.drop_every == 0:
@@ -83,7 +83,7 @@
         self.events.append(CacheEvent(event_number, prefix, kind, visible_s))
 
     def events_after(self, after: int) -> list[dict[str, Any]]:
-        """Return the visible events with a higher number."""
+        """Return the visible events numbered above `after`."""
         now_s = self.now()
         return [
             {'number': one.number, 'prefix': one.prefix, 'kind': one.kind}
--- a/src/quetzaldyke/standins/engine_options.py
+++ b/src/quetzaldyke/standins/engine_options.py
@@ -1,4 +1,4 @@
-"""Options and fault switches of the stand-in engine."""
+"""Defines the options and fault switches of the simulated engine."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineOptions:
-    """Options of the stand-in."""
+    """Options of the simulated engine, fixed when it starts."""
 
     address: str = '127.0.0.1:0'
     model: str = 'model'
@@ -20,22 +20,22 @@
     cache_event_lag_s: float = 0.2
     cache_event_gap_every: int = 7
     load_report_lag_s: float = 0.2
-    # Refuse orders with a token below the highest seen.
+    # Refuses orders with a fencing token below the highest seen.
     check_tokens: bool = True
     load_model_s: float = 0.2
     restart_s: float = 1.0
-    # Keep streams running after their connection has gone.
+    # Keeps streams running after their client has disconnected.
     keep_orphans: bool = False
     seed: int = 1
 
 
 @dataclass(slots=True)
 class EngineFaults:
-    """Switches; all off at the start."""
+    """Fault switches, all off initially."""
 
-    # Refuses connections and loses all state, as a stopped process does.
+    # Refuses connections and discards all state, like a stopped process.
     down: bool = False
-    # Multiplies the time of every step.
+    # Multiplies the duration of every step.
     slow_factor: float = 1.0
-    # Accepts requests and produces nothing.
+    # Accepts requests but generates no tokens.
     stalled: bool = False
--- a/src/quetzaldyke/standins/engine_orders.py
+++ b/src/quetzaldyke/standins/engine_orders.py
@@ -1,4 +1,4 @@
-"""Orders to the stand-in engine: models, adapters, versions and the role."""
+"""Applies orders to the simulated engine: models, adapters and roles."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class OrderState:
-    """What the engine was ordered to be, and by which tokens."""
+    """The state set by orders, and the fencing tokens they carried."""
 
     model: str
     version: str
@@ -24,15 +24,15 @@
     role: str = ''
     loading: bool = False
     highest_token: int = 0
-    # Token and action of each order that was carried out, in order.
+    # Fencing token and action of each applied order, oldest first.
     applied: list[tuple[int, str]] = field(default_factory=list)
 
     def accepts(self, token: int) -> bool:
-        """Tell whether an order with this token is carried out."""
+        """Return whether an order with this fencing token is accepted."""
         return not self.check_tokens or token >= self.highest_token
 
     async def apply(self, order: dict[str, Any]) -> None:
-        """Carry out an order; loading takes its time."""
+        """Apply an order; loading a model takes `load_model_s`."""
         token = int(order.get('fencing_token', 0))
         action = order['action']
         self.highest_token = max(self.highest_token, token)
@@ -58,7 +58,7 @@
                 self.role = order.get('role', '')
 
     def as_dict(self) -> dict[str, Any]:
-        """Return the state for HTTP."""
+        """Return the state as the `/orders` route reports it."""
         return {
             'model': self.model,
             'version': self.version,
--- a/src/quetzaldyke/standins/engine_text.py
+++ b/src/quetzaldyke/standins/engine_text.py
@@ -1,6 +1,7 @@
-"""What the stand-in engine answers, as a function of the prompt.
+"""Derives the simulated engine's output from the prompt.
 
-Tests compute the same answer, so that they can check that one is whole.
+Output is deterministic, so that tests can compute the expected text and
+check that a response is complete.
 """
 
 from __future__ import annotations
@@ -13,12 +14,14 @@
 # Prompts are cached in blocks of this many words.
 BLOCK_WORDS: Final = 16
 BLOCK_HASH_CHARS: Final = 16
+# A prompt that contains this text crashes the engine.
 CRASH_WORD: Final = 'CRASH'
+# A prompt that contains this text is refused as invalid.
 INVALID_WORD: Final = 'INVALID'
 
 
 def token_text(prompt: str, index: int) -> str:
-    """Return token `index` (from 0) of the answer to a prompt.
+    """Return the text of the token at `index`, counted from 0.
 
     >>> token_text('hello', 3)
     ' w32cf2'
@@ -28,7 +31,7 @@
 
 
 def answer_text(prompt: str, tokens: int, first: int = 0) -> str:
-    """Return tokens `first` to `tokens - 1` of the answer.
+    """Return the text of tokens `first` to `tokens - 1`.
 
     >>> answer_text('hello', 2)
     ' w02cf2 w12cf2'
@@ -37,14 +40,14 @@
 
 
 def content_text(content: Any) -> str:
-    """Return the text of a message, given as text or as parts."""
+    """Return message content as text; it is a string or a list of parts."""
     if isinstance(content, str):
         return content
     return ''.join(part.get('text', '') for part in content or ())
 
 
 def prompt_text(body: dict[str, Any]) -> str:
-    """Return the prompt; chat messages are joined by line ends.
+    """Return the prompt; chat messages are joined by newlines.
 
     >>> prompt_text({'messages': [{'role': 'user', 'content': 'hello'}]})
     'hello'
@@ -58,10 +61,10 @@
 
 
 def prefix_hashes(prompt: str) -> list[str]:
-    """Return the name of each whole block's prefix, shortest first.
+    """Return the prefix hash of each full block, shortest prefix first.
 
-    A name is the start of the SHA-256 over all words up to the block's
-    end, joined by spaces.
+    A hash is the truncated SHA-256 of all words up to the end of the block,
+    joined by spaces.
 
     >>> prefix_hashes('too short')
     []
--- a/src/quetzaldyke/standins/faults.py
+++ b/src/quetzaldyke/standins/faults.py
@@ -1,8 +1,8 @@
-"""What all stand-ins share: outages, broken answers and remote switches.
+"""Injects faults into stand-ins: outages, aborted responses and random faults.
 
-A stand-in that is down refuses connections, as a process that is gone
-does. `PUT /faults` changes the switches of a stand-in that runs as a
-process of its own; in one process they are plain attributes.
+A stand-in that is down refuses connections, like a stopped process. `PUT
+/faults` sets the fault switches of a stand-in in another process; within one
+process, tests set the attributes directly.
 """
 
 from __future__ import annotations
@@ -35,28 +35,32 @@
 
 @dataclass(slots=True)
 class InterruptibleServer:
-    """Serves an app on one address and takes it down on demand."""
+    """Serves an app on one address, except while `is_down` returns True."""
 
     is_down: Callable[[], bool]
     stopping: anyio.Event = field(default_factory=anyio.Event)
-    # Set when the graceful stop is complete.
+    # Set once the graceful shutdown is complete.
     stopped: anyio.Event = field(default_factory=anyio.Event)
     address: str = ''
-    # The server that listens, or listened last.
+    # The current server, or the last one while the stand-in is down.
     http: HttpServer | None = None
     listening: bool = False
 
     def abort_connection(self, request: Request) -> Response:
-        """Break the connection of a request instead of answering it."""
+        """Abort the connection of a request.
+
+        The returned response is a placeholder for the framework.
+        """
         if self.http is not None and request.client is not None:
             host, port = request.client
             self.http.break_connection((host, port))
         return Response(status_code=500)
 
     def abort_when_down(self, app: App) -> App:
-        """Return an app that answers nothing once the stand-in is down.
+        """Return an app that aborts connections while the stand-in is down.
 
-        The listener is closed a moment later than the switch is set.
+        This covers requests that arrive after the switch is set and before
+        the listener closes.
         """
 
         async def abort_or_serve(
@@ -77,7 +81,10 @@
         *,
         task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Serve until stopped; refuses connections while it is down."""
+        """Serve until stopped; refuse connections while down.
+
+        Reports the task as started once the app first listens.
+        """
         self.address = address
         started = False
         while not self.stopping.is_set():
@@ -103,29 +110,32 @@
         self.stopped.set()
 
     async def wait_until_down(self) -> None:
-        """Return when the stand-in goes down or is stopped."""
+        """Wait until the stand-in goes down or is stopped."""
         while not self.is_down() and not self.stopping.is_set():
             await anyio.sleep(POLL_S)
 
 
 @dataclass(slots=True)
 class SeededRandom:
-    """Seeded random choices, so that a run can be repeated."""
+    """Random decisions from a fixed seed, so that runs are reproducible."""
 
     seed: int = 1
     generator: random.Random = field(init=False)
 
     def __post_init__(self) -> None:
-        """Seed the source."""
+        """Create the generator from the seed."""
         self.generator = random.Random(self.seed)
 
     def draw(self, ratio: float) -> bool:
-        """Return True in the given share of calls."""
+        """Return True with probability `ratio`."""
         return ratio > 0 and self.generator.random() < ratio
 
 
 def set_faults(faults: Any, given: dict[str, Any]) -> str:
-    """Set known switches; returns the name of an unknown one, or ''."""
+    """Set fault switches; return the first unknown name, or ''.
+
+    Switches before the unknown one are set.
+    """
     names = {one.name for one in dataclasses.fields(faults)}
     for name, setting in given.items():
         if name not in names:
@@ -138,7 +148,7 @@
     faults: Any,
     counts: Callable[[], dict[str, Any]],
 ) -> list[Route]:
-    """Return the routes that switch faults and read the counters."""
+    """Return the routes that get and set faults and get the counters."""
 
     async def put_faults(request: Request) -> Response:
         unknown = set_faults(faults, await request.json())
--- a/src/quetzaldyke/standins/instances.py
+++ b/src/quetzaldyke/standins/instances.py
@@ -1,7 +1,7 @@
-"""Stand-in for the platform's list of instances, which lags.
+"""Simulates the platform's list of instances, including its delay.
 
-Changes come by `PUT` and `DELETE` or from a JSON file of the same shape as
-the answer, and show after the lag.
+Changes come from `PUT` and `DELETE` requests or from a JSON file in the
+format of the response. They become visible after a configured delay.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstancesOptions:
-    """Options of the stand-in."""
+    """Options of the simulated instance list."""
 
     address: str = '127.0.0.1:0'
     lag_s: float = 0.0
@@ -46,22 +46,22 @@
 
 @dataclass(slots=True)
 class InstancesFaults:
-    """Switches; all off at the start."""
+    """Fault switches, all off initially."""
 
     down: bool = False
-    # Answers with the list as it is; later changes don't show.
+    # Serves the current list; pending changes do not become visible.
     frozen: bool = False
 
 
 @dataclass(slots=True)
 class InstancesStandin:
-    """A running stand-in."""
+    """A simulated instance list: its options, faults, rows and server."""
 
     options: InstancesOptions
     faults: InstancesFaults
     server: InterruptibleServer
     rows: dict[str, Row] = field(default_factory=dict)
-    # Changes that don't show yet: time, name, and the row or None.
+    # Changes not yet visible: due time, name, and the row or None to remove.
     pending: deque[tuple[float, str, Row | None]] = field(
         default_factory=deque,
     )
@@ -75,16 +75,16 @@
 
     @property
     def stopping(self) -> anyio.Event:
-        """Return the event that stops the stand-in."""
+        """Return the event that stops the stand-in once it is set."""
         return self.server.stopping
 
     def change(self, name: str, row: Row | None) -> None:
-        """Set or remove (None) a row; it shows after the lag."""
+        """Set a row, or remove it if None; visible after the delay."""
         due_s = time.monotonic() + self.options.lag_s
         self.pending.append((due_s, name, row))
 
     def visible_rows(self) -> list[Row]:
-        """Return the rows that show now, ordered by name."""
+        """Apply the changes that are due and return the rows by name."""
         now_s = time.monotonic()
         while not self.faults.frozen and self.pending:
             due_s, name, row = self.pending[0]
@@ -98,7 +98,10 @@
         return [self.rows[name] for name in sorted(self.rows)]
 
     def apply_text(self, text: str) -> None:
-        """Adopt the contents of the file when they have changed."""
+        """Queue the changes of the file, if its text has changed.
+
+        Raises `ValueError` or `KeyError` if the text is malformed.
+        """
         if text == self.file_text:
             return
         rows = json.loads(text)['instances']
@@ -111,14 +114,14 @@
 
 
 def row_with_defaults(given: dict[str, Any]) -> Row:
-    """Return a row with all fields; the state is live by default."""
+    """Return a row with all fields; the state defaults to `live`."""
     row = {name: str(given.get(name, '')) for name in FIELDS}
     row['state'] = row['state'] or 'live'
     return row
 
 
 async def poll_file(standin: InstancesStandin) -> None:
-    """Follow the file; one that is being written is read again later."""
+    """Poll the file for changes; retry if it is missing or half-written."""
     path = anyio.Path(Path(standin.options.file))
     while True:
         try:
--- a/src/quetzaldyke/standins/kv.py
+++ b/src/quetzaldyke/standins/kv.py
@@ -1,8 +1,8 @@
-"""Stand-in for the platform's key-value service.
+"""Simulates the platform's key-value service.
 
-Speaks a subset of the etcd v3 JSON gateway: range, transactions with one
-revision compare and one put or delete, leases, and streaming watches.
-Every call is counted by kind, and faults can be switched while it runs.
+Serves a subset of the etcd v3 JSON gateway: range reads, transactions with
+one revision compare and one put or delete, leases, and streaming watches.
+Calls are counted by kind, and faults can be switched at run time.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KvOptions:
-    """Options of the stand-in."""
+    """Options of the simulated service."""
 
     address: str = '127.0.0.1:0'
     seed: int = 1
@@ -50,28 +50,28 @@
 
 @dataclass(slots=True)
 class KvFaults:
-    """Switches; all off at the start."""
+    """Fault switches, all off initially."""
 
-    # Refuses connections and breaks open ones.
+    # Refuses new connections and aborts open ones.
     down: bool = False
-    # Wait before a call is looked at. A client that gives up earlier can
-    # still have its write applied afterwards.
+    # Delay before a call is processed. A write can be applied after its client
+    # has timed out.
     delay_s: float = 0.0
-    # Share of the calls that `delay_s` applies to.
+    # Fraction of calls that `delay_s` applies to.
     delay_ratio: float = 1.0
-    # The next writes are applied and their answers lost.
+    # Number of next writes that are applied without a response.
     lose_answers: int = 0
-    # Share of the writes that are applied with the answer lost.
+    # Fraction of writes that are applied without a response.
     lose_answers_ratio: float = 0.0
-    # Share of the calls whose connection breaks before anything is applied.
+    # Fraction of calls whose connection is aborted before they are applied.
     drop_ratio: float = 0.0
-    # Leases end this long before their time.
+    # Leases expire this long before their deadline.
     expire_early_s: float = 0.0
 
 
 @dataclass(slots=True)
 class KvStandin:
-    """A running stand-in."""
+    """A simulated service: its faults, counters, state and server."""
 
     faults: KvFaults
     counts: KvCounts
@@ -86,12 +86,12 @@
 
     @property
     def stopping(self) -> anyio.Event:
-        """Return the event that stops the stand-in."""
+        """Return the event that stops the stand-in once it is set."""
         return self.server.stopping
 
 
 async def handle_call(standin: KvStandin, request: Request) -> Response:
-    """Run one call with the faults that are on."""
+    """Process a call other than a watch, subject to the active faults."""
     body = await request.json()
     faults = standin.faults
     if faults.delay_s and standin.rng.draw(faults.delay_ratio):
@@ -109,7 +109,7 @@
 
 
 def error_response(exc: KvCallError) -> Response:
-    """Return an error as the gateway writes it."""
+    """Return an error response in the format of the etcd gateway."""
     message = str(exc)
     return JSONResponse(
         {'error': message, 'code': exc.code, 'message': message},
@@ -118,7 +118,7 @@
 
 
 def should_lose_answer(standin: KvStandin) -> bool:
-    """Tell whether the answer of an applied write gets lost."""
+    """Return whether to drop the response to an applied write."""
     if standin.faults.lose_answers > 0:
         standin.faults.lose_answers -= 1
         return True
@@ -126,7 +126,7 @@
 
 
 async def handle_watch(standin: KvStandin, request: Request) -> Response:
-    """Open a watch, one JSON object a line."""
+    """Open a watch that streams one JSON object per line."""
     body = await request.json()
     if standin.faults.delay_s:
         await anyio.sleep(standin.faults.delay_s)
@@ -144,7 +144,7 @@
 
 
 def watch_line(state: KvState, fields: Body) -> str:
-    """Return one line of a watch's answer."""
+    """Return one line of a watch response."""
     return f'{json.dumps({"result": {"header": header(state), **fields}})}\n'
 
 
@@ -154,7 +154,10 @@
     range_end: bytes,
     start_revision: int,
 ) -> AsyncIterator[str]:
-    """Yield the changes of a range from a revision on."""
+    """Yield the changes of a range from a revision on.
+
+    Ends with a cancellation if that revision has been compacted.
+    """
     state = standin.state
     next_revision = start_revision or state.revision + 1
     standin.counts.open_watches += 1
@@ -195,7 +198,7 @@
 
 
 async def expire_leases(standin: KvStandin) -> None:
-    """End leases at their time."""
+    """Revoke expired leases periodically."""
     while True:
         await anyio.sleep(EXPIRY_POLL_S)
         standin.state.expire_leases(standin.faults.expire_early_s)
@@ -217,7 +220,7 @@
 
 
 def make_standin(options: KvOptions) -> KvStandin:
-    """Return a stand-in that is not yet served."""
+    """Return a stand-in that does not serve requests yet."""
     faults = KvFaults()
     return KvStandin(
         faults,
--- a/src/quetzaldyke/standins/kv_calls.py
+++ b/src/quetzaldyke/standins/kv_calls.py
@@ -1,7 +1,7 @@
-"""Calls of the stand-in key-value service in the gateway's JSON.
+"""Implements the calls of the simulated key-value service.
 
-Bytes are base64 and integers are strings; like the gateway, answers leave
-out fields that are zero.
+Uses the JSON mapping of the etcd gateway: bytes are base64, integers are
+strings, and responses omit zero fields.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class KvCounts:
-    """Calls by kind; a watch counts once when it starts to wait."""
+    """Counters of calls by kind; a watch counts once, when it opens."""
 
     calls: Counter[str] = field(default_factory=Counter)
     conflicts: int = 0
@@ -38,7 +38,7 @@
         return self.calls['range'] + self.calls['watch']
 
     def as_dict(self) -> dict[str, Any]:
-        """Return the counters for HTTP."""
+        """Return the counters as the `/counts` route reports them."""
         return {
             'calls': dict(self.calls),
             'writes': self.writes,
@@ -49,32 +49,32 @@
 
 
 class KvCallError(Exception):
-    """A call is answered with an error of the protocol."""
+    """A call fails with an error response of the protocol."""
 
     def __init__(self, status: int, code: int, message: str) -> None:
-        """Keep the HTTP status and the gRPC code."""
+        """Store the HTTP status and the gRPC code."""
         super().__init__(message)
         self.status = status
         self.code = code
 
 
 def base64_text(raw: bytes) -> str:
-    """Return bytes as the gateway writes them."""
+    """Return bytes as base64 text."""
     return base64.b64encode(raw).decode()
 
 
 def bytes_field(body: Body, name: str) -> bytes:
-    """Return a bytes field of a body."""
+    """Return a base64 field of a body as bytes; empty if missing."""
     return base64.b64decode(body.get(name, ''))
 
 
 def int_field(body: Body, name: str) -> int:
-    """Return an integer field; the gateway accepts strings and numbers."""
+    """Return an integer field, given as string or number; 0 if missing."""
     return int(body.get(name, 0))
 
 
 def kv_body(kv: KeyValue) -> Body:
-    """Return a key as JSON; like the gateway, without zero fields."""
+    """Return a key-value pair as JSON, without zero fields."""
     fields: Body = {
         'key': base64_text(kv.key),
         'create_revision': str(kv.create_revision),
@@ -89,7 +89,7 @@
 
 
 def event_body(event: KeyEvent) -> Body:
-    """Return a change as JSON; PUT is the default type and left out."""
+    """Return an event as JSON; the default type PUT is omitted."""
     body: Body = {'kv': kv_body(event.kv)}
     if event.deleted:
         body['type'] = 'DELETE'
@@ -97,7 +97,7 @@
 
 
 def header(state: KvState) -> Body:
-    """Return the header that every answer has."""
+    """Return the header that every response carries."""
     return {
         'cluster_id': '1',
         'member_id': '1',
@@ -106,7 +106,7 @@
 
 
 def do_range(state: KvState, counts: KvCounts, body: Body) -> Body:
-    """Read a key or a range."""
+    """Return the keys of a range, or one key."""
     counts.calls['range'] += 1
     found = state.select(
         bytes_field(body, 'key'), bytes_field(body, 'range_end')
@@ -119,7 +119,10 @@
 
 
 def do_txn(state: KvState, counts: KvCounts, body: Body) -> Body:
-    """Apply one put or delete if the revision is as compared."""
+    """Apply one put or delete if the compared revision matches.
+
+    Raises `KvCallError` for an unsupported compare or an invalid put.
+    """
     compare = body['compare'][0]
     operation = body['success'][0]
     kind = 'put' if 'request_put' in operation else 'delete'
@@ -145,7 +148,7 @@
 
 
 def check_put(state: KvState, put: Body) -> None:
-    """Refuse a large value and an unknown lease."""
+    """Raise `KvCallError` if the value is too large or the lease unknown."""
     if len(bytes_field(put, 'value')) > MAX_VALUE_BYTES:
         raise KvCallError(400, 3, 'etcdserver: request is too large')
     lease_id = int_field(put, 'lease')
@@ -154,7 +157,7 @@
 
 
 def do_grant(state: KvState, counts: KvCounts, body: Body) -> Body:
-    """Create a lease."""
+    """Grant a lease."""
     counts.calls['lease_grant'] += 1
     lease = state.grant(int_field(body, 'TTL'))
     return {
@@ -165,7 +168,7 @@
 
 
 def do_keep_alive(state: KvState, counts: KvCounts, body: Body) -> Body:
-    """Extend a lease; a lapsed one is answered without TTL."""
+    """Renew a lease; the response omits the TTL if it has expired."""
     counts.calls['lease_keepalive'] += 1
     ttl_s = state.keep_alive(int_field(body, 'ID'))
     result: Body = {'header': header(state), 'ID': str(body['ID'])}
@@ -175,7 +178,7 @@
 
 
 def do_revoke(state: KvState, counts: KvCounts, body: Body) -> Body:
-    """End a lease."""
+    """Revoke a lease; raise `KvCallError` if it is unknown."""
     counts.calls['lease_revoke'] += 1
     if not state.revoke(int_field(body, 'ID')):
         raise KvCallError(404, 5, 'etcdserver: requested lease not found')
--- a/src/quetzaldyke/standins/kv_state.py
+++ b/src/quetzaldyke/standins/kv_state.py
@@ -1,7 +1,7 @@
-"""Contents of the stand-in key-value service: keys, history and leases.
+"""Stores the keys, history and leases of the simulated key-value service.
 
-Every change gets the next revision, as in etcd. The history of changes is
-bounded; a watch from before it is told so and has to read again.
+Every change gets the next revision, as in etcd. The history is bounded; a
+watch from a compacted revision is cancelled and its client must reread.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyValue:
-    """One key at one revision."""
+    """A key and its value at one revision."""
 
     key: bytes
     value: bytes
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyEvent:
-    """One change; a deletion has an empty value."""
+    """A put or delete; the value of a deleted key is empty."""
 
     kv: KeyValue
     deleted: bool
 
     @property
     def size(self) -> int:
-        """Return the bytes that the event takes in the history."""
+        """Return the approximate size of the event in the history, in bytes."""
         return len(self.kv.key) + len(self.kv.value) + EVENT_OVERHEAD_BYTES
 
 
@@ -62,14 +62,14 @@
     keys: dict[bytes, KeyValue] = field(default_factory=dict)
     history: deque[KeyEvent] = field(default_factory=deque)
     history_bytes: int = 0
-    # Changes up to this revision are no longer in the history.
+    # The history no longer contains changes up to this revision.
     compacted: int = 0
     leases: dict[int, Lease] = field(default_factory=dict)
     next_lease: int = 1000
     changed: anyio.Event = field(default_factory=anyio.Event)
 
     def select(self, key: bytes, range_end: bytes) -> list[KeyValue]:
-        """Return the key, or all keys in `[key, range_end)`, in order."""
+        """Return `key`, or all keys in `[key, range_end)` in order."""
         if not range_end:
             found = self.keys.get(key)
             return [found] if found else []
@@ -80,12 +80,12 @@
         ]
 
     def mod_revision(self, key: bytes) -> int:
-        """Return the revision of the key's last change; 0 when absent."""
+        """Return the revision of the key's last change; 0 if absent."""
         found = self.keys.get(key)
         return found.mod_revision if found else 0
 
     def put(self, key: bytes, value: bytes, lease_id: int) -> None:
-        """Write a key at the next revision."""
+        """Write a key at the next revision and attach it to its lease."""
         old = self.keys.get(key)
         self.detach_from_lease(old)
         self.revision += 1
@@ -103,7 +103,7 @@
         self.record_event(KeyEvent(written, deleted=False))
 
     def delete(self, key: bytes) -> bool:
-        """Delete a key at the next revision; False when it is absent."""
+        """Delete a key at the next revision; return False if absent."""
         old = self.keys.pop(key, None)
         if old is None:
             return False
@@ -114,12 +114,12 @@
         return True
 
     def detach_from_lease(self, old: KeyValue | None) -> None:
-        """Remove a key's former value from its lease."""
+        """Detach a key from the lease of its previous value."""
         if old is not None and old.lease in self.leases:
             self.leases[old.lease].keys.discard(old.key)
 
     def record_event(self, event: KeyEvent) -> None:
-        """Append to the history and wake the watches."""
+        """Append an event to the bounded history and wake all watches."""
         self.history.append(event)
         self.history_bytes += event.size
         while self.history_bytes > HISTORY_BYTES:
@@ -140,14 +140,14 @@
         return found
 
     def grant(self, ttl_s: int) -> Lease:
-        """Create a lease."""
+        """Grant a lease and return it."""
         self.next_lease += 1
         lease = Lease(self.next_lease, ttl_s, self.now() + ttl_s)
         self.leases[lease.lease_id] = lease
         return lease
 
     def keep_alive(self, lease_id: int) -> int:
-        """Extend a lease; returns its time to live, 0 when it is gone."""
+        """Renew a lease; return its TTL in seconds, 0 if it has expired."""
         lease = self.leases.get(lease_id)
         if lease is None:
             return 0
@@ -155,7 +155,7 @@
         return lease.ttl_s
 
     def revoke(self, lease_id: int) -> bool:
-        """End a lease and delete its keys; False when it is gone."""
+        """Revoke a lease and delete its keys; return False if unknown."""
         lease = self.leases.pop(lease_id, None)
         if lease is None:
             return False
@@ -164,9 +164,9 @@
         return True
 
     def expire_leases(self, early_s: float = 0) -> list[int]:
-        """End the leases whose time is over; returns their ids.
+        """Revoke the expired leases and return their ids.
 
-        `early_s` is a fault: leases end that long before their time.
+        `early_s` injects a fault: leases expire that long too early.
         """
         due_s = self.now() + early_s
         expired = [
@@ -180,7 +180,7 @@
 
 
 def in_range(name: bytes, key: bytes, range_end: bytes) -> bool:
-    """Tell whether a key lies in a range of the protocol."""
+    """Return whether `name` is in a range; an end of `\\0` is unbounded."""
     if name < key:
         return False
     return range_end == b'\0' or name < range_end
--- a/src/quetzaldyke/standins/platform_endpoint.py
+++ b/src/quetzaldyke/standins/platform_endpoint.py
@@ -1,9 +1,8 @@
-"""Stand-in for an endpoint on the platform: a model engine or plain service.
+"""Simulates an endpoint on the platform: a model engine or plain service.
 
-It registers itself in the store, runs requests on a few slots in order of
-arrival, and keeps a record of every run, so that a test can see what ran
-twice or where it should not have. The events of a stream depend only on the
-request, as those of a resumed run must.
+Registers in the store, runs requests on a limited number of slots, and
+records every run, so that tests can detect duplicate or misplaced runs. The
+events of a stream depend only on the request, as resuming requires.
 """
 
 from __future__ import annotations
@@ -33,10 +32,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformEndpointOptions:
-    """Options of the stand-in."""
+    """Options of the simulated endpoint."""
 
     address: str = '127.0.0.1:0'
-    # Where it registers; nowhere when empty.
+    # Store to register in; empty to not register.
     store_address: str = ''
     endpoint_id: str = 'i-1'
     service: str = 'lm'
@@ -44,26 +43,26 @@
     slots: int = 4
     events: int = 10
     event_ms: float = 5.0
-    # Answers with one body in place of a stream.
+    # Returns a single body instead of an event stream.
     plain: bool = False
 
 
 @dataclass(slots=True)
 class EndpointFaults:
-    """Switches; all off at the start."""
+    """Fault switches, all off initially."""
 
-    # Breaks each stream off after this many events; 0 for never.
+    # Aborts each stream after this many events; 0 disables this.
     break_after: int = 0
-    # Answers 500 to every request.
+    # Fails every request with status 500.
     fail: bool = False
-    # Answers nothing.
+    # Never responds to requests.
     silent: bool = False
     draining: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class RunRecord:
-    """One run of a request."""
+    """A run of a request, from `first_event` on."""
 
     request_id: str
     path: str
@@ -74,7 +73,7 @@
 
 @dataclass(slots=True)
 class PlatformEndpointStandin:
-    """A running stand-in."""
+    """A simulated endpoint: its options, faults, slots and run records."""
 
     options: PlatformEndpointOptions
     faults: EndpointFaults = field(default_factory=EndpointFaults)
@@ -88,7 +87,7 @@
     slot_freed: anyio.Event = field(default_factory=anyio.Event)
 
     def routes(self) -> list[Route]:
-        """Return the routes of tests and of callers."""
+        """Return the control routes and the route that runs requests."""
         return [
             Route('/faults', self.set_faults, methods=['POST']),
             Route('/runs', self.get_runs),
@@ -96,13 +95,13 @@
         ]
 
     async def set_faults(self, request: Request) -> Response:
-        """Switch faults on and off."""
+        """Set fault switches."""
         for name, setting in orjson.loads(await request.body()).items():
             setattr(self.faults, name, setting)
         return Response()
 
     async def get_runs(self, request: Request) -> Response:
-        """Show every run so far."""
+        """Return all runs so far and the peak concurrency."""
         rows = [
             {
                 'id': one.request_id,
@@ -119,7 +118,11 @@
         )
 
     async def serve(self, request: Request) -> Response:
-        """Run a request, or say that it does not run."""
+        """Run a request, or refuse it.
+
+        Returns 421 if another instance was expected, 503 if the queue is full
+        and 400 without an attempt id; none of these has run.
+        """
         request_id = request.headers.get('attempt-id', '')
         expected = request.headers.get('expect-instance')
         if expected is not None and expected != self.options.endpoint_id:
@@ -157,7 +160,7 @@
         )
 
     async def acquire_slot(self) -> None:
-        """Wait for a slot."""
+        """Wait for a free slot and occupy it."""
         self.queued += 1
         try:
             while self.running >= self.options.slots:
@@ -168,7 +171,7 @@
         self.peak_running = max(self.peak_running, self.running)
 
     def release_slot(self) -> None:
-        """Free a slot."""
+        """Release a slot and wake the waiting requests."""
         self.running -= 1
         self.slot_freed.set()
         self.slot_freed = anyio.Event()
@@ -178,7 +181,7 @@
         request_id: str,
         headers: dict[str, str],
     ) -> Response:
-        """Answer with one body."""
+        """Return a single body and release the slot."""
         try:
             await anyio.sleep(self.options.event_ms / MS_IN_S)
             return Response(f'done {request_id}', headers=headers)
@@ -190,20 +193,25 @@
         request_id: str,
         first: int,
     ) -> AsyncIterator[bytes]:
-        """Yield the events of a run."""
+        """Yield the events from `first` on and release the slot.
+
+        Raises `ConnectionResetError` where the `break_after` fault applies.
+        """
         try:
             for number in range(first, self.options.events + 1):
                 await anyio.sleep(self.options.event_ms / MS_IN_S)
                 yield event_of(request_id, number)
                 broken = self.faults.break_after
                 if broken and number - first + 1 >= broken:
-                    raise ConnectionResetError('broken off on purpose')
+                    raise ConnectionResetError(
+                        'stream aborted by the break_after fault'
+                    )
         finally:
             self.release_slot()
 
 
 def event_of(request_id: str, number: int) -> bytes:
-    r"""Return one event of a request.
+    r"""Return the server-sent event `number` of a request.
 
     >>> event_of('r', 2)
     b'id: 2\ndata: r/2\n\n'
@@ -212,7 +220,7 @@
 
 
 def expected_output(request_id: str, events: int) -> str:
-    r"""Return the data of all events of a request.
+    r"""Return the complete output of a request, its events' data joined.
 
     >>> expected_output('r', 2)
     'r/1\nr/2'
@@ -222,7 +230,7 @@
 
 
 async def register(standin: PlatformEndpointStandin) -> None:
-    """Keep the entry of this endpoint in the store."""
+    """Keep this endpoint registered in the store, until cancelled."""
     lease = 0
     async with httpcore.AsyncConnectionPool() as pool:
         while True:
@@ -238,7 +246,10 @@
     pool: httpcore.AsyncConnectionPool,
     lease: int,
 ) -> int:
-    """Renew the lease or write the entry anew; return the lease."""
+    """Renew the lease or register again; return the lease, 0 on failure.
+
+    Registers on every call while draining.
+    """
     if lease and not standin.faults.draining:
         kept = await call_store(standin, pool, f'kv-keep/{lease}', {})
         if kept is not None:
@@ -259,7 +270,7 @@
 
 
 def registration_entry(standin: PlatformEndpointStandin) -> bytes:
-    """Return the entry of an endpoint."""
+    """Return the registration of an endpoint as JSON."""
     options = standin.options
     return orjson.dumps(
         {
@@ -282,7 +293,7 @@
     path: str,
     body: object,
 ) -> Any:
-    """Call the store; None when it refuses."""
+    """Call the store; return None unless the status is 200."""
     answer = await pool.request(
         'POST',
         f'http://{standin.options.store_address}/quetzaldyke/{path}',
--- a/src/quetzaldyke/standins/platform_store.py
+++ b/src/quetzaldyke/standins/platform_store.py
@@ -1,8 +1,8 @@
-"""Stand-in for the platform's store: keys, transactions, leases, watches.
+"""Simulates the platform's store: keys, transactions, leases and watches.
 
-It speaks the store's published protocol. Faults are switched over its
-control path: it can refuse calls, lose answers after the work was done,
-answer late, and drop its history.
+Serves the published protocol of the store. Its `/faults` route injects
+faults: refused calls, lost responses to applied writes, delays, revoked
+leases and dropped history.
 """
 
 from __future__ import annotations
@@ -30,25 +30,25 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformStoreOptions:
-    """Options of the stand-in."""
+    """Options of the simulated store."""
 
     address: str = '127.0.0.1:0'
 
 
 @dataclass(slots=True)
 class StoreFaults:
-    """Switches; all off at the start."""
+    """Fault switches, all off initially."""
 
-    # Refuses every call but those that control the faults.
+    # Refuses every call except those to `/faults`.
     refuse: bool = False
     delay_s: float = 0.0
-    # The next writes are done and their answers lost.
+    # Number of next writes that are applied without a response.
     lose_answers: int = 0
 
 
 @dataclass(slots=True)
 class StoredItem:
-    """One key."""
+    """The value of a key, with its revisions and lease."""
 
     value: bytes
     revision: int
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True)
 class StoredEvent:
-    """One change in the history; `item` is None for a removal."""
+    """A change in the history; `item` is None for a deletion."""
 
     key: str
     revision: int
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True)
 class StoreLease:
-    """One lease."""
+    """A lease with its TTL and expiry time."""
 
     ttl_s: float
     expires_s: float
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True)
 class StoreState:
-    """Everything that the store keeps.
+    """The keys, history and leases of the store.
 
     >>> state = StoreState()
     >>> state.put('a', b'1', 0), state.put('b', b'2', 0)
@@ -90,18 +90,18 @@
     leases: dict[int, StoreLease] = field(default_factory=dict)
     revision: int = 0
     next_lease: int = 1
-    # Changes up to this revision are forgotten.
+    # The history no longer contains changes up to this revision.
     compacted: int = 0
     changed: anyio.Event = field(default_factory=anyio.Event)
 
     def put(self, key: str, value: bytes, lease: int) -> int:
-        """Write a key in a revision of its own."""
+        """Write a key at the next revision and return that revision."""
         self.revision += 1
         self.write(key, value, lease)
         return self.revision
 
     def write(self, key: str, value: bytes, lease: int) -> None:
-        """Write a key in the present revision."""
+        """Write a key at the current revision."""
         known = self.items.get(key)
         created = known.created if known else self.revision
         item = StoredItem(value, self.revision, created, lease)
@@ -109,12 +109,12 @@
         self.record_event(StoredEvent(key, self.revision, item))
 
     def remove(self, key: str) -> None:
-        """Remove a key in the present revision."""
+        """Delete a key at the current revision, if it exists."""
         if self.items.pop(key, None) is not None:
             self.record_event(StoredEvent(key, self.revision, None))
 
     def record_event(self, event: StoredEvent) -> None:
-        """Keep a change and wake the watches."""
+        """Append an event to the bounded history and wake all watches."""
         self.events.append(event)
         if len(self.events) > HISTORY_EVENTS:
             self.compacted = self.events.pop(0).revision
@@ -122,14 +122,14 @@
         self.changed = anyio.Event()
 
     def forget_history(self) -> None:
-        """Drop all history."""
+        """Compact the whole history and wake all watches."""
         self.events.clear()
         self.compacted = self.revision
         self.changed.set()
         self.changed = anyio.Event()
 
     def events_after(self, prefix: str, after: int) -> list[StoredEvent]:
-        """Return the changes of a prefix after a revision."""
+        """Return the retained changes of a prefix after a revision."""
         return [
             event
             for event in self.events
@@ -137,14 +137,14 @@
         ]
 
     def grant(self, ttl_s: float) -> int:
-        """Create a lease."""
+        """Grant a lease."""
         lease = self.next_lease
         self.next_lease += 1
         self.leases[lease] = StoreLease(ttl_s, self.now() + ttl_s)
         return lease
 
     def revoke_lease(self, lease: int) -> None:
-        """End a lease and remove its keys."""
+        """Revoke a lease and delete its keys at one revision."""
         self.leases.pop(lease, None)
         keys = [key for key, item in self.items.items() if item.lease == lease]
         if keys:
@@ -153,14 +153,18 @@
             self.remove(key)
 
     def expire_leases(self) -> None:
-        """End the leases whose time is over."""
+        """Revoke the expired leases."""
         now_s = self.now()
         for lease, held in list(self.leases.items()):
             if held.expires_s <= now_s:
                 self.revoke_lease(lease)
 
     def transact(self, call: dict[str, Any]) -> tuple[int, dict[str, Any]]:
-        """Apply a transaction; return status and answer."""
+        """Apply a transaction and return the HTTP status and body.
+
+        Returns 412 with the existing keys if a revision differs, and 404 if a
+        lease is unknown; neither changes anything.
+        """
         rows = call.get('if-rev', [])
         if any(self.revision_of(row['key']) != row['revision'] for row in rows):
             known = [row['key'] for row in rows if row['key'] in self.items]
@@ -178,17 +182,17 @@
         return 200, {'revision': self.revision}
 
     def revision_of(self, key: str) -> int:
-        """Return the revision of a key, 0 when it does not exist."""
+        """Return the revision of a key; 0 if it does not exist."""
         item = self.items.get(key)
         return item.revision if item else 0
 
     def render(self, key: str) -> dict[str, Any]:
-        """Return a key as the protocol shows it."""
+        """Return a key in the JSON format of the protocol."""
         return render_item(key, self.items[key])
 
 
 def render_item(key: str, item: StoredItem) -> dict[str, Any]:
-    """Return an item as the protocol shows it."""
+    """Return an item in the JSON format of the protocol."""
     return {
         'key': key,
         'value': base64.b64encode(item.value).decode('ascii'),
@@ -199,7 +203,7 @@
 
 
 def render_event(event: StoredEvent) -> dict[str, Any]:
-    """Return a change as the protocol shows it."""
+    """Return a change in the JSON format; a deletion is a tombstone."""
     if event.item is not None:
         return render_item(event.key, event.item)
     return {'key': event.key, 'revision': event.revision, 'tombstone': True}
@@ -207,7 +211,7 @@
 
 @dataclass(slots=True)
 class PlatformStoreStandin:
-    """A running stand-in."""
+    """A simulated store: its options, state, faults and call counter."""
 
     options: PlatformStoreOptions
     state: StoreState = field(default_factory=StoreState)
@@ -217,7 +221,7 @@
     calls: int = 0
 
     def routes(self) -> list[Route]:
-        """Return the routes of the protocol and of the faults."""
+        """Return the routes of the store protocol and the control route."""
         base = '/quetzaldyke'
         return [
             Route(f'{base}/kv-key', self.with_faults(self.read_key)),
@@ -230,7 +234,7 @@
             ),
             Route(
                 f'{base}/kv-lease',
-                self.with_faults(self.lease),
+                self.with_faults(self.grant_lease),
                 methods=['POST'],
             ),
             Route(
@@ -247,7 +251,7 @@
         ]
 
     def with_faults(self, handler: Any) -> Any:
-        """Apply the faults to a handler."""
+        """Return a handler that counts calls and applies the active faults."""
 
         async def handle_with_faults(request: Request) -> Response:
             self.calls += 1
@@ -257,17 +261,20 @@
                 await anyio.sleep(self.faults.delay_s)
             response: Response = await handler(request)
             if self.faults.refuse:
-                # A watch that waited when the outage began hears nothing.
+                # Also refuses calls, such as watches, that were waiting when
+                # the outage began.
                 return json_response({'error': 'refused'}, 503)
             if self.faults.lose_answers and request.method == 'POST':
                 self.faults.lose_answers -= 1
-                raise ConnectionResetError('the answer is lost on purpose')
+                raise ConnectionResetError(
+                    'response dropped by the lose_answers fault'
+                )
             return response
 
         return handle_with_faults
 
     async def read_key(self, request: Request) -> Response:
-        """Serve one key."""
+        """Return a key; 404 if it does not exist."""
         key = request.query_params['key']
         if key not in self.state.items:
             return json_response({'store-revision': self.state.revision}, 404)
@@ -276,7 +283,7 @@
         return json_response(shown)
 
     async def read_range(self, request: Request) -> Response:
-        """Serve the keys of a prefix in one page."""
+        """Return all keys of a prefix in a single page."""
         prefix = request.query_params['prefix']
         after = request.query_params.get('after', '')
         keys = sorted(
@@ -294,7 +301,10 @@
         )
 
     async def watch(self, request: Request) -> Response:
-        """Serve changes as soon as there are some."""
+        """Wait for changes of a prefix and return them.
+
+        Returns no events after a timeout, and 410 if the history is compacted.
+        """
         prefix = request.query_params['prefix']
         after = int(request.query_params['after'])
         wait_s = int(request.query_params['wait-ms']) / MS_IN_S
@@ -318,14 +328,14 @@
         status, body = self.state.transact(orjson.loads(await request.body()))
         return json_response(body, status)
 
-    async def lease(self, request: Request) -> Response:
-        """Create a lease."""
+    async def grant_lease(self, request: Request) -> Response:
+        """Grant a lease."""
         call = orjson.loads(await request.body())
         lease = self.state.grant(call['ttl-ms'] / MS_IN_S)
         return json_response({'lease': lease, 'ttl-ms': call['ttl-ms']})
 
     async def renew_lease(self, request: Request) -> Response:
-        """Renew a lease."""
+        """Renew a lease; return 404 if it is unknown."""
         held = self.state.leases.get(request.path_params['lease'])
         if held is None:
             return json_response({'error': 'no such lease'}, 404)
@@ -333,12 +343,15 @@
         return json_response({'ttl-ms': int(held.ttl_s * MS_IN_S)})
 
     async def end_lease(self, request: Request) -> Response:
-        """End a lease."""
+        """Revoke a lease."""
         self.state.revoke_lease(request.path_params['lease'])
         return json_response({})
 
     async def set_faults(self, request: Request) -> Response:
-        """Switch faults on and off."""
+        """Set fault switches and return the number of calls.
+
+        `forget` compacts the history; `lapse` revokes all leases.
+        """
         wanted = orjson.loads(await request.body())
         if wanted.pop('forget', False):
             self.state.forget_history()
@@ -351,12 +364,12 @@
 
 
 def json_response(body: object, status: int = 200) -> Response:
-    """Return a JSON answer."""
+    """Return a JSON response."""
     return Response(orjson.dumps(body), status, media_type=JSON)
 
 
 async def poll_expired_leases(standin: PlatformStoreStandin) -> None:
-    """End leases as their time is over."""
+    """Revoke expired leases periodically."""
     while True:
         await anyio.sleep(LEASE_CHECK_S)
         standin.state.expire_leases()
--- a/src/quetzaldyke/standins/service.py
+++ b/src/quetzaldyke/standins/service.py
@@ -1,7 +1,7 @@
-"""Stand-in for a plain service: bookings that must not be made twice.
+"""Simulates a service with bookings that must not execute twice.
 
-It counts the executions of each booking id, so that a test can see a
-duplicate, and it can lose the answer after the work was done.
+Counts the executions of each booking id, so that tests can detect
+duplicates, and can drop the response after a booking was made.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceOptions:
-    """Options of the stand-in."""
+    """Options of the simulated service."""
 
     address: str = '127.0.0.1:0'
     name: str = 'service'
@@ -36,21 +36,21 @@
 
 @dataclass(slots=True)
 class ServiceFaults:
-    """Switches; all off at the start."""
+    """Fault switches, all off initially."""
 
-    # Refuses connections and breaks open ones; bookings are kept.
+    # Refuses new connections and aborts open ones; bookings are kept.
     down: bool = False
-    # Extra time before the work is done.
+    # Additional delay before a booking is made.
     delay_s: float = 0.0
-    # The next bookings are made and their answers lost.
+    # Number of next bookings that are made without a response.
     lose_answers: int = 0
-    # Share of the bookings that are made with the answer lost.
+    # Fraction of bookings that are made without a response.
     lose_answers_ratio: float = 0.0
 
 
 @dataclass(slots=True)
 class ServiceStandin:
-    """A running stand-in."""
+    """A simulated service: its options, faults, server and counters."""
 
     options: ServiceOptions
     faults: ServiceFaults
@@ -66,12 +66,12 @@
 
     @property
     def stopping(self) -> anyio.Event:
-        """Return the event that stops the stand-in."""
+        """Return the event that stops the stand-in once it is set."""
         return self.server.stopping
 
 
 def should_lose_answer(service: ServiceStandin) -> bool:
-    """Tell whether the answer to a booking gets lost."""
+    """Return whether to drop the response to a booking."""
     if service.faults.lose_answers > 0:
         service.faults.lose_answers -= 1
         return True
@@ -79,7 +79,7 @@
 
 
 async def create_booking(service: ServiceStandin, request: Request) -> Response:
-    """Make a booking and count it by its id."""
+    """Make a booking and count its execution; return 400 without an id."""
     body = await request.json()
     booking_id = body.get('id') if isinstance(body, dict) else None
     if not isinstance(booking_id, str):
--- a/src/quetzaldyke/standins/serving.py
+++ b/src/quetzaldyke/standins/serving.py
@@ -1,4 +1,4 @@
-"""Serves a stand-in until it is told to stop."""
+"""Runs the HTTP server of a stand-in until it is stopped."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class Standin(Protocol):
-    """What serving needs of a stand-in."""
+    """The interface of a stand-in that can be served."""
 
     stopping: anyio.Event
-    # Set once it accepts connections.
+    # Set once the server accepts connections.
     address: str
 
     def routes(self) -> list[Route]:
-        """Return the routes that it serves."""
+        """Return the routes to serve."""
 
 
 StandinT = TypeVar('StandinT', bound=Standin)
@@ -33,7 +33,7 @@
     background_task: Callable[[StandinT], Coroutine[Any, Any, None]] | None,
     task_status: TaskStatus[StandinT],
 ) -> None:
-    """Serve and work beside it until `stopping` is set."""
+    """Serve a stand-in and run its background task until it is stopped."""
     async with anyio.create_task_group() as group:
         http = await group.start(
             serve_http,
--- a/tests/test_standin_command.py
+++ b/tests/test_standin_command.py
@@ -24,7 +24,7 @@
     number: int,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """Guards against stand-ins that outlive the run that started them."""
+    """Guards against stand-ins that keep running after a stop signal."""
 
     async def main() -> None:
         options = parse_options(kind, {}).unwrap()
@@ -53,7 +53,7 @@
     places: list[str],
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """Guards against flags that are ignored in silence."""
+    """Guards against invalid flags that are silently ignored."""
     with pytest.raises(SystemExit) as exit_info:
         run_standin(kind, **flags)
     assert exit_info.value.code == 2
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-ins for engines, services and the instance list."""
+"""Tests of the simulated engine, service and instance list."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 @dataclass
 class Client:
-    """Calls stand-ins over HTTP."""
+    """HTTP client for stand-ins."""
 
     group: TaskGroup
     pool: httpcore.AsyncConnectionPool
@@ -47,7 +47,7 @@
         body: object = None,
         request_id: str = '',
     ) -> tuple[int, bytes]:
-        """Return status and body; status 0 when the connection broke."""
+        """Return status and body; status 0 if the connection failed."""
         try:
             response = await self.pool.request(
                 method,
@@ -60,11 +60,11 @@
         return response.status, response.content
 
     async def json(self, method: str, url: str, body: object = None) -> Any:
-        """Return the body of an answer."""
+        """Return the decoded body of a response."""
         return json.loads((await self.call(method, url, body))[1])
 
     async def until(self, url: str, holds: Callable[[Any], bool]) -> Any:
-        """Return the first answer that meets a condition."""
+        """Poll a URL and return the first body that meets a condition."""
         with anyio.fail_after(10):
             while True:
                 status, raw = await self.call('GET', url)
@@ -74,7 +74,7 @@
 
 
 def content_of(body: object) -> bytes:
-    """Return the bytes of a body."""
+    """Return a body as bytes, encoded as JSON if needed."""
     if isinstance(body, bytes):
         return body
     return b'' if body is None else json.dumps(body).encode()
@@ -102,7 +102,7 @@
 
 
 def streamed_text(raw: bytes) -> tuple[str, bool]:
-    """Return the text of a stream and whether it is complete."""
+    """Return the text of a stream and whether it ended with `[DONE]`."""
     lines = [line[6:] for line in raw.decode().split('\n\n') if line]
     complete = lines[-1:] == ['[DONE]']
     chunks = [json.loads(line) for line in lines if line != '[DONE]']
@@ -112,7 +112,7 @@
 
 @pytest.mark.parametrize('stream', [True, False])
 def test_engine_answer_is_whole(stream: bool) -> None:
-    """Guards against answers that tests could not check."""
+    """Guards against responses that differ from the predicted text."""
 
     async def steps(client: Client) -> str:
         engine = await client.group.start(run_engine, FAST)
@@ -127,7 +127,7 @@
 
 
 def test_engine_resumes_at_any_token() -> None:
-    """Guards against resumed answers that repeat or skip tokens."""
+    """Guards against resumed streams that repeat or skip tokens."""
 
     async def steps(client: Client) -> list[str]:
         engine = await client.group.start(run_engine, FAST)
@@ -150,7 +150,7 @@
 
 
 def test_engine_runs_no_more_than_its_slots() -> None:
-    """Guards against more streams than the engine has slots."""
+    """Guards against running more than `max_streams` streams at once."""
 
     async def steps(client: Client) -> tuple[int, list[str]]:
         engine = await client.group.start(run_engine, FAST)
@@ -178,7 +178,7 @@
 
 @pytest.mark.parametrize('by', ['cancel', 'disconnect', 'crash'])
 def test_engine_breaks_streams_off(by: str) -> None:
-    """Guards against a broken-off stream that looks complete or goes on."""
+    """Guards against aborted streams that look complete or keep running."""
 
     async def steps(client: Client) -> tuple[bool, int]:
         engine = await client.group.start(run_engine, FAST)
@@ -213,7 +213,7 @@
 
 
 def test_engine_refuses_invalid_prompts() -> None:
-    """Guards against permanent failures that look like crashes."""
+    """Guards against invalid prompts that are reported like crashes."""
 
     async def steps(client: Client) -> int:
         engine = await client.group.start(run_engine, FAST)
@@ -224,7 +224,7 @@
 
 
 def test_engine_moves_cache() -> None:
-    """Guards against exports and imports that do not save the prefill."""
+    """Guards against imported caches that do not save the prefill."""
 
     async def steps(client: Client) -> list[int]:
         first = await client.group.start(run_engine, FAST)
@@ -249,7 +249,7 @@
 
 
 def test_engine_cache_events_have_gaps_and_evictions() -> None:
-    """Guards against a cache view that tests could trust too much."""
+    """Guards against cache events that are more complete than an engine's."""
     options = EngineOptions(
         step_ms=1,
         cache_blocks=4,
@@ -276,7 +276,7 @@
     [(True, 409, 'new'), (False, 200, 'old')],
 )
 def test_engine_fencing(check_tokens: bool, status: int, model: str) -> None:
-    """Guards against engines that are all alike in checking tokens."""
+    """Guards against ignoring whether an engine checks fencing tokens."""
     options = EngineOptions(check_tokens=check_tokens, load_model_s=0)
 
     async def steps(client: Client) -> tuple[int, str, int]:
@@ -294,7 +294,7 @@
 
 
 def test_service_counts_executions_with_lost_answers() -> None:
-    """Guards against duplicates that no test can see."""
+    """Guards against duplicate executions that are not counted."""
 
     async def steps(client: Client) -> tuple[list[int], Any]:
         service = await client.group.start(run_service, ServiceOptions())
@@ -309,7 +309,7 @@
 
 
 def test_instance_list_lags() -> None:
-    """Guards against a list that is fresher than the platform's."""
+    """Guards against a list that shows changes while it is frozen."""
 
     async def steps(client: Client) -> tuple[Any, Any]:
         standin = await client.group.start(run_instances, InstancesOptions())
@@ -327,7 +327,7 @@
 
 
 def test_instance_list_follows_its_file(tmp_path: Path) -> None:
-    """Guards against a list that misses changes of its file."""
+    """Guards against a list that misses changes to its file."""
     path = tmp_path / 'instances.json'
     options = InstancesOptions(file=str(path))
 
@@ -348,7 +348,7 @@
 
 
 def test_faults_by_http() -> None:
-    """Guards against switches that only work within one process."""
+    """Guards against fault switches that cannot be set over HTTP."""
 
     async def steps(client: Client) -> tuple[int, int, float]:
         engine = await client.group.start(run_engine, FAST)
