--- a/src/quetzaldyke/commands/caller.py
+++ b/src/quetzaldyke/commands/caller.py
@@ -12,8 +12,12 @@
 import httpcore
 import orjson
 
-from quetzaldyke.connection.engine_client import EventReader, Progress, absorb
-from quetzaldyke.connection.engine_client import Piece as Part
+from quetzaldyke.connection.engine_client import (
+    EventReader,
+    StreamState,
+    apply_event,
+)
+from quetzaldyke.connection.engine_client import TextDelta as Part
 
 OK_STATUS: Final = 200
 MS_IN_S: Final = 1000
@@ -138,13 +142,13 @@
     if response.status != OK_STATUS:
         outcome.error = (await response.aread()).decode('utf-8', 'replace')
         return
-    progress = Progress()
+    progress = StreamState()
     reader = EventReader()
     last_s = 0.0
     async for raw in response.aiter_stream():
         part = Part()
         for text in reader.feed(raw):
-            absorb(text, part, progress)
+            apply_event(text, part, progress)
         if not part.text:
             continue
         now_s = time.monotonic()
@@ -155,7 +159,7 @@
         last_s = now_s
         outcome.text += part.text
         outcome.tokens += part.tokens
-    outcome.whole = progress.whole and not progress.error
+    outcome.whole = progress.complete and not progress.error
     outcome.error = progress.error
 
 
--- a/src/quetzaldyke/connection/answers.py
+++ b/src/quetzaldyke/connection/answers.py
@@ -34,51 +34,51 @@
     text: list[str] = field(default_factory=list)
     tokens: int = 0
     raw: list[bytes] = field(default_factory=list)
-    waiting_bytes: int = 0
-    flush_planned: bool = False
-    ending: Answer | None = None
+    buffered_bytes: int = 0
+    flush_scheduled: bool = False
+    final_answer: Answer | None = None
     closed: bool = False
     room: anyio.Event = field(default_factory=anyio.Event)
 
     @property
     def full(self) -> bool:
         """Tell whether the caller is too far behind to read on."""
-        return self.waiting_bytes >= READ_AHEAD_BYTES and not self.closed
+        return self.buffered_bytes >= READ_AHEAD_BYTES and not self.closed
 
     def add_text(self, text: str, tokens: int) -> None:
         """Queue text of a model's answer."""
         self.text.append(text)
         self.tokens += tokens
-        self.waiting_bytes += len(text)
-        self.plan_flush()
+        self.buffered_bytes += len(text)
+        self.schedule_flush()
 
     def add_raw(self, raw: bytes) -> None:
         """Queue bytes of a plain service's answer; each part is a chunk."""
         self.raw.append(raw)
-        self.waiting_bytes += len(raw)
+        self.buffered_bytes += len(raw)
         self.flush()
 
-    def plan_flush(self) -> None:
+    def schedule_flush(self) -> None:
         """Flush after the present step of the event loop."""
-        if self.flush_planned:
+        if self.flush_scheduled:
             return
-        self.flush_planned = True
+        self.flush_scheduled = True
         asyncio.get_running_loop().call_soon(self.flush)
 
     def flush(self) -> None:
         """Send what waits as far as the credit allows."""
-        self.flush_planned = False
+        self.flush_scheduled = False
         if self.closed:
             return
         while self.raw and self.credit:
             self.send_chunk(
                 Chunk(self.request_id, self.seq, '', 0, self.raw[0])
             )
-            self.waiting_bytes -= len(self.raw.pop(0))
+            self.buffered_bytes -= len(self.raw.pop(0))
         if self.text and self.credit:
             text = ''.join(self.text)
             self.send_chunk(Chunk(self.request_id, self.seq, text, self.tokens))
-            self.waiting_bytes -= len(text)
+            self.buffered_bytes -= len(text)
             self.text.clear()
             self.tokens = 0
         if not self.full:
@@ -93,28 +93,28 @@
 
     def send_end(self) -> None:
         """Send the closing message once every chunk was sent."""
-        if self.ending is None or self.text or self.raw:
+        if self.final_answer is None or self.text or self.raw:
             return
         self.closed = True
         self.session.send(
             End(
                 self.request_id,
                 self.seq,
-                self.ending.status,
-                self.ending.headers,
-                self.ending.body,
-                self.ending.finish_reason,
-                self.ending.prompt_tokens,
-                self.ending.completion_tokens,
+                self.final_answer.status,
+                self.final_answer.headers,
+                self.final_answer.body,
+                self.final_answer.finish_reason,
+                self.final_answer.prompt_tokens,
+                self.final_answer.completion_tokens,
             )
         )
 
-    def grant(self, chunks: int) -> None:
+    def add_credit(self, chunks: int) -> None:
         """Add credit from the receiver."""
         self.credit += max(0, chunks)
         self.flush()
 
-    async def wait_room(self) -> None:
+    async def wait_for_room(self) -> None:
         """Wait until the caller has read enough."""
         while self.full:
             self.room = anyio.Event()
@@ -122,7 +122,7 @@
 
     def finish(self, answer: Answer) -> None:
         """End the answer after what still waits."""
-        self.ending = answer
+        self.final_answer = answer
         self.flush()
 
     def fail(self, failed: Failed) -> None:
@@ -137,5 +137,5 @@
         self.closed = True
         self.text.clear()
         self.raw.clear()
-        self.waiting_bytes = 0
+        self.buffered_bytes = 0
         self.room.set()
--- a/src/quetzaldyke/connection/batch_messages.py
+++ b/src/quetzaldyke/connection/batch_messages.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass
 from typing import ClassVar
 
-from quetzaldyke.connection.codec import register
+from quetzaldyke.connection.codec import register_message
 from quetzaldyke.connection.messages import Message
 
 
-@register
+@register_message
 @dataclass(slots=True)
 class SegmentState(Message):
     """Answer of a segment's owner; `state` is open, done or closed."""
--- a/src/quetzaldyke/connection/caller_channel.py
+++ b/src/quetzaldyke/connection/caller_connection.py
@@ -12,69 +12,69 @@
 
 from uvicorn.protocols.http.httptools_impl import HttpToolsProtocol
 
-TIMED_OUT: Final = (
+REQUEST_TIMEOUT_RESPONSE: Final = (
     b'HTTP/1.1 408 Request Timeout\r\n'
     b'connection: close\r\n'
     b'content-length: 0\r\n'
     b'\r\n'
 )
 
-Overdue = Literal['head', 'body', 'idle']
+TimeoutKind = Literal['head', 'body', 'idle']
 
 
-class CallerChannel(HttpToolsProtocol):
+class CallerConnection(HttpToolsProtocol):
     """One connection, with the times that its limits need."""
 
     def __init__(self, *args: Any, **keywords: Any) -> None:
         """Start with no request on its way."""
         super().__init__(*args, **keywords)
         # Since when a request's head is on its way; None when none is.
-        self.head_since_s: float | None = None
+        self.head_started_s: float | None = None
         # When something last came, or the last answer was complete.
-        self.active_s = self.loop.time()
+        self.last_active_s = self.loop.time()
 
     def data_received(self, data: bytes) -> None:
         """Note that the caller is there."""
-        self.active_s = self.loop.time()
+        self.last_active_s = self.loop.time()
         super().data_received(data)
 
     def on_message_begin(self) -> None:
         """The head of a request is on its way."""
-        self.head_since_s = self.loop.time()
+        self.head_started_s = self.loop.time()
         super().on_message_begin()
 
     def on_headers_complete(self) -> None:
         """The head has come in time."""
-        self.head_since_s = None
+        self.head_started_s = None
         super().on_headers_complete()
 
     def on_response_complete(self) -> None:
         """Count idle time from the end of an answer."""
-        self.active_s = self.loop.time()
+        self.last_active_s = self.loop.time()
         super().on_response_complete()
 
     def is_serving(self) -> bool:
         """Tell whether a request is being read or answered."""
         return self.cycle is not None and not self.cycle.response_complete
 
-    def overdue(
+    def expired_timeout(
         self,
         header_timeout_s: float,
         idle_timeout_s: float,
         now_s: float,
-    ) -> Overdue | None:
+    ) -> TimeoutKind | None:
         """Return which limit has passed, if any."""
         if self.is_serving() and not self.cycle.more_body:
             return None
-        if self.head_since_s is not None:
-            late = now_s - self.head_since_s > header_timeout_s
-            return 'head' if late else None
-        if now_s - self.active_s <= idle_timeout_s:
+        if self.head_started_s is not None:
+            expired = now_s - self.head_started_s > header_timeout_s
+            return 'head' if expired else None
+        if now_s - self.last_active_s <= idle_timeout_s:
             return None
         return 'body' if self.is_serving() else 'idle'
 
-    def time_out(self, reason: Overdue) -> None:
+    def close_expired(self, reason: TimeoutKind) -> None:
         """End the connection; a request that was begun is answered."""
         if reason != 'idle':
-            self.transport.write(TIMED_OUT)
+            self.transport.write(REQUEST_TIMEOUT_RESPONSE)
         self.transport.close()
--- a/src/quetzaldyke/connection/calls.py
+++ b/src/quetzaldyke/connection/calls.py
@@ -46,14 +46,14 @@
     def send_nowait(self, event: CallEvent) -> None:
         """Queue an event."""
         self.events.append(event)
-        self.wake()
+        self.wake_reader()
 
     def close(self) -> None:
         """End the queue after the events in it."""
         self.closed = True
-        self.wake()
+        self.wake_reader()
 
-    def wake(self) -> None:
+    def wake_reader(self) -> None:
         """Let the reader go on."""
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_result(None)
@@ -77,7 +77,7 @@
     """One request in flight on a connection."""
 
     submit: Submit
-    source: EventQueue = field(default_factory=EventQueue)
+    queue: EventQueue = field(default_factory=EventQueue)
     next_seq: int = 0
     started: bool = False
     finished: bool = False
@@ -104,10 +104,10 @@
         call = self.calls.get(message.request_id)
         if call is None or call.finished:
             return True
-        self.advance(call, message)
+        self.process_event(call, message)
         return True
 
-    def advance(self, call: Call, event: CallEvent) -> None:
+    def process_event(self, call: Call, event: CallEvent) -> None:
         """Check the order of an event and queue it for the reader."""
         match event:
             case Started():
@@ -115,41 +115,43 @@
             case Chunk(seq=seq) if seq < call.next_seq:
                 return
             case Chunk(seq=seq) if seq > call.next_seq:
-                self.close_call(call, broken(call, 'chunk missing'))
+                self.finish_call(call, unknown_failure(call, 'chunk missing'))
                 return
             case Chunk():
                 call.next_seq += 1
             case End(seq=seq) if seq != call.next_seq:
-                self.close_call(call, broken(call, 'chunk missing at end'))
+                self.finish_call(
+                    call, unknown_failure(call, 'chunk missing at end')
+                )
                 return
             case _:
-                self.close_call(call, event)
+                self.finish_call(call, event)
                 return
-        call.source.send_nowait(event)
+        call.queue.send_nowait(event)
 
-    def close_call(self, call: Call, event: CallEvent) -> None:
+    def finish_call(self, call: Call, event: CallEvent) -> None:
         """Queue the last event of a request."""
         call.finished = True
         self.calls.pop(call.submit.request_id, None)
-        call.source.send_nowait(event)
-        call.source.close()
+        call.queue.send_nowait(event)
+        call.queue.close()
 
     def fail_all(self, reason: str) -> None:
         """Fail every request after the connection was lost."""
         for call in list(self.calls.values()):
-            self.close_call(call, broken(call, reason))
+            self.finish_call(call, unknown_failure(call, reason))
 
-    def abandon(self, call: Call) -> None:
+    def cancel_call(self, call: Call) -> None:
         """Stop a request whose answer nobody wants any more."""
         if call.finished:
             return
         call.finished = True
         self.calls.pop(call.submit.request_id, None)
         self.session.send(Cancel(call.submit.request_id))
-        call.source.close()
+        call.queue.close()
 
 
-def broken(call: Call, reason: str) -> Failed:
+def unknown_failure(call: Call, reason: str) -> Failed:
     """Return the failure of a request that may have run."""
     return Failed(call.submit.request_id, 'unknown', reason)
 
@@ -161,12 +163,12 @@
     """
     unread = 0
     try:
-        async for event in call.source:
+        async for event in call.queue:
             yield event
             unread += isinstance(event, Chunk)
             if unread >= WINDOW_CHUNKS // 2:
                 table.session.send(Window(call.submit.request_id, unread))
                 unread = 0
     finally:
-        table.abandon(call)
-        call.source.close()
+        table.cancel_call(call)
+        call.queue.close()
--- a/src/quetzaldyke/connection/codec.py
+++ b/src/quetzaldyke/connection/codec.py
@@ -17,52 +17,56 @@
 MessageT = TypeVar('MessageT', bound=Message)
 
 
-def concrete_types(annotation: object) -> tuple[type, ...]:
+def field_classes(annotation: object) -> tuple[type, ...]:
     """Return the classes that a field of this annotation may have."""
     origin = typing.get_origin(annotation)
     if origin is types.UnionType or origin is typing.Union:
         return tuple(
             one
             for part in typing.get_args(annotation)
-            for one in concrete_types(part)
+            for one in field_classes(part)
         )
-    plain = origin or annotation
-    if plain is float:
+    concrete = origin or annotation
+    if concrete is float:
         return (float, int)
-    return (plain,) if isinstance(plain, type) else (object,)
+    return (concrete,) if isinstance(concrete, type) else (object,)
 
 
-def field_table(
+def message_fields(
     message_type: type[Message],
 ) -> tuple[tuple[str, tuple[type, ...]], ...]:
     """Return the names and accepted classes of a message's fields."""
     hints = typing.get_type_hints(message_type)
     return tuple(
-        (one.name, concrete_types(hints[one.name]))
+        (one.name, field_classes(hints[one.name]))
         for one in fields(message_type)
     )
 
 
-BY_KIND: Final = {
+MESSAGE_TYPES: Final = {
     message_type.kind: message_type for message_type in Message.__subclasses__()
 }
 # Subclasses made by `slots=True` replace the originals; the last one wins.
-TABLES: Final = {
-    kind: field_table(message_type) for kind, message_type in BY_KIND.items()
+FIELDS_BY_KIND: Final = {
+    kind: message_fields(message_type)
+    for kind, message_type in MESSAGE_TYPES.items()
 }
 
 
-def register(message_type: type[MessageT]) -> type[MessageT]:
+def register_message(message_type: type[MessageT]) -> type[MessageT]:
     """Add a message that is defined in another module."""
-    BY_KIND[message_type.kind] = message_type
-    TABLES[message_type.kind] = field_table(message_type)
+    MESSAGE_TYPES[message_type.kind] = message_type
+    FIELDS_BY_KIND[message_type.kind] = message_fields(message_type)
     return message_type
 
 
 def to_row(message: Message) -> list[object]:
     """Return the wire form of a message."""
-    table = TABLES[message.kind]
-    return [message.kind, *(getattr(message, name) for name, _ in table)]
+    expected_fields = FIELDS_BY_KIND[message.kind]
+    return [
+        message.kind,
+        *(getattr(message, name) for name, _ in expected_fields),
+    ]
 
 
 def from_row(row: list[object]) -> Message:
@@ -72,14 +76,14 @@
     >>> from_row(to_row(Cancel('r1')))
     Cancel(request_id='r1')
     """
-    kind, *contents = row
-    message_type = BY_KIND.get(kind) if isinstance(kind, int) else None
+    kind, *values = row
+    message_type = MESSAGE_TYPES.get(kind) if isinstance(kind, int) else None
     if message_type is None:
         raise FrameError(f'unknown message kind {kind!r}')
-    table = TABLES[message_type.kind]
-    if len(contents) != len(table):
+    expected_fields = FIELDS_BY_KIND[message_type.kind]
+    if len(values) != len(expected_fields):
         raise FrameError(f'{message_type.__name__}: wrong field count')
-    for (name, classes), content in zip(table, contents, strict=True):
-        if not isinstance(content, classes):
+    for (name, classes), value in zip(expected_fields, values, strict=True):
+        if not isinstance(value, classes):
             raise FrameError(f'{message_type.__name__}.{name}: wrong type')
-    return message_type(*contents)
+    return message_type(*values)
--- a/src/quetzaldyke/connection/config_messages.py
+++ b/src/quetzaldyke/connection/config_messages.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass
 from typing import ClassVar
 
-from quetzaldyke.connection.codec import register
+from quetzaldyke.connection.codec import register_message
 from quetzaldyke.connection.messages import Message
 
 
-@register
+@register_message
 @dataclass(slots=True)
 class ConfigRequest(Message):
     """The sender holds `version` and asks for the receiver's.
@@ -21,7 +21,7 @@
     version: int
 
 
-@register
+@register_message
 @dataclass(slots=True)
 class ConfigDelta(Message):
     """The patches that lead from one version to another."""
@@ -33,7 +33,7 @@
     digest: str  # of the document that they lead to
 
 
-@register
+@register_message
 @dataclass(slots=True)
 class VersionQuery(Message):
     """Asks an entry which processes have reported a version."""
@@ -44,7 +44,7 @@
     timeout_ms: int
 
 
-@register
+@register_message
 @dataclass(slots=True)
 class VersionReply(Message):
     """Answer once all connected processes have a version, or timed out.
--- a/src/quetzaldyke/connection/engine_client.py
+++ b/src/quetzaldyke/connection/engine_client.py
@@ -25,34 +25,34 @@
 from result import Err, Ok, Result
 
 from quetzaldyke.connection.http_endpoint import (
-    BROKEN,
     CONTROL_TIMEOUT_S,
-    SERVER_ERROR,
-    SUCCESS_LIMIT,
+    FIRST_REDIRECT_STATUS,
+    FIRST_SERVER_ERROR_STATUS,
+    TRANSPORT_ERRORS,
     Answer,
-    Connections,
+    ConnectionPool,
     EndpointFailure,
-    failure_of,
-    headers_of,
+    classify_error,
     read_body,
     request_headers,
+    response_headers,
 )
 from quetzaldyke.connection.messages import Order, Submit
 
-DONE_MARK: Final = '[DONE]'
+END_MARKER: Final = '[DONE]'
 MAX_ERROR_BYTES: Final = 65536
 TOO_MANY_REQUESTS: Final = 429
 CONFLICT: Final = 409
 NOT_FOUND: Final = 404
-CANCEL_TRIES: Final = 3
-CANCEL_PAUSE_S: Final = 0.02
+CANCEL_ATTEMPTS: Final = 3
+CANCEL_RETRY_DELAY_S: Final = 0.02
 # A load copies weights from the rate-limited store and can take minutes.
 ORDER_TIMEOUT_S: Final = 600.0
-TAIL_WAIT_S: Final = 0.1
+REMAINING_TIMEOUT_S: Final = 0.1
 
 
 @dataclass(slots=True)
-class Piece:
+class TextDelta:
     """Text and tokens that arrived together."""
 
     text: str = ''
@@ -60,13 +60,13 @@
 
 
 @dataclass(slots=True)
-class Progress:
+class StreamState:
     """What the events of one stream have said so far."""
 
     finish_reason: str = ''
     prompt_tokens: int = 0
     completion_tokens: int = 0
-    whole: bool = False
+    complete: bool = False
     error: str = ''
 
 
@@ -95,7 +95,7 @@
 class EngineClient:
     """Connections to one engine."""
 
-    connections: Connections
+    connections: ConnectionPool
 
     async def call(
         self,
@@ -114,38 +114,38 @@
                 read_s,
             ) as response:
                 content = await response.aread()
-        except BROKEN as exc:
-            return Err(failure_of(exc))
-        return Ok((response.status, parse(content)))
+        except TRANSPORT_ERRORS as exc:
+            return Err(classify_error(exc))
+        return Ok((response.status, parse_json(content)))
 
     async def healthy(self) -> bool:
         """Tell whether the engine answers its health check."""
         outcome = await self.call('GET', '/health')
-        return outcome.is_ok() and outcome.unwrap()[0] < SUCCESS_LIMIT
+        return outcome.is_ok() and outcome.unwrap()[0] < FIRST_REDIRECT_STATUS
 
     async def running_ids(self) -> Result[list[str], EndpointFailure]:
         """Return the ids of the streams that the engine runs."""
         outcome = await self.call('GET', '/v1/requests')
-        return outcome.map(lambda reply: texts(reply[1], 'running'))
+        return outcome.map(lambda reply: string_list(reply[1], 'running'))
 
-    async def cancel(self, request_id: str, seen: bool = True) -> None:
+    async def cancel(self, request_id: str, known_running: bool = True) -> None:
         """Stop a stream.
 
-        A cancel can overtake the start of a stream that has not been `seen`
+        A cancel can overtake the start of a stream that has not been known
         to run; it is repeated when the engine does not know the stream yet.
         """
         path = f'/v1/requests/{request_id}/cancel'
-        for _ in range(1 if seen else CANCEL_TRIES):
+        for _ in range(1 if known_running else CANCEL_ATTEMPTS):
             outcome = await self.call('POST', path)
             if isinstance(outcome, Err) or outcome.ok_value[0] != NOT_FOUND:
                 return
-            await anyio.sleep(0 if seen else CANCEL_PAUSE_S)
+            await anyio.sleep(0 if known_running else CANCEL_RETRY_DELAY_S)
 
     async def cancel_orphans(
         self,
-        own: Container[str],
+        own_ids: Container[str],
     ) -> Result[int, EndpointFailure]:
-        """Cancel every stream that is not `own`; return their number.
+        """Cancel every stream that is not in `own_ids`; return their number.
 
         Nobody could prove which part of an orphan's text was delivered, so
         orphans are never adopted.
@@ -153,10 +153,10 @@
         listed = await self.running_ids()
         if isinstance(listed, Err):
             return listed
-        orphans = [one for one in listed.ok_value if one not in own]
-        for request_id in orphans:
+        orphan_ids = [one for one in listed.ok_value if one not in own_ids]
+        for request_id in orphan_ids:
             await self.cancel(request_id)
-        return Ok(len(orphans))
+        return Ok(len(orphan_ids))
 
     async def cache_events(
         self,
@@ -164,14 +164,16 @@
     ) -> Result[list[dict[str, object]], EndpointFailure]:
         """Return the cache events after a number."""
         outcome = await self.call('GET', f'/cache_events?after={after}')
-        return outcome.map(lambda reply: rows(reply[1], 'events'))
+        return outcome.map(lambda reply: object_list(reply[1], 'events'))
 
     async def order_state(self) -> Result[dict[str, object], EndpointFailure]:
         """Return the loaded model, version, adapter and highest token."""
         outcome = await self.call('GET', '/orders')
-        return outcome.map(lambda reply: mapping(reply[1]))
+        return outcome.map(lambda reply: as_object(reply[1]))
 
-    async def give_order(self, order: Order) -> Result[None, EndpointFailure]:
+    async def execute_order(
+        self, order: Order
+    ) -> Result[None, EndpointFailure]:
         """Hand an order to the engine and wait until it is carried out."""
         body = orjson.dumps(
             {
@@ -189,14 +191,14 @@
         status, _ = outcome.ok_value
         if status == CONFLICT:
             return Err(EndpointFailure('not_run', 'engine: stale token'))
-        if status >= SUCCESS_LIMIT:
+        if status >= FIRST_REDIRECT_STATUS:
             return Err(EndpointFailure('unknown', f'engine status {status}'))
         return Ok(None)
 
     async def run(
         self,
         submit: Submit,
-        on_piece: Callable[[Piece], Awaitable[None]],
+        on_delta: Callable[[TextDelta], Awaitable[None]],
     ) -> Result[Answer, EndpointFailure]:
         """Run one request and hand on its text as it arrives."""
         try:
@@ -206,16 +208,16 @@
                 request_headers(submit),
                 stream_body(submit),
             ) as response:
-                if response.status >= SUCCESS_LIMIT:
-                    return await refused(response)
-                return await read_answer(response, on_piece)
-        except BROKEN as exc:
-            return Err(failure_of(exc))
+                if response.status >= FIRST_REDIRECT_STATUS:
+                    return await read_error_response(response)
+                return await read_event_stream(response, on_delta)
+        except TRANSPORT_ERRORS as exc:
+            return Err(classify_error(exc))
 
 
 def stream_body(submit: Submit) -> bytes:
     """Return the request's body as the engine gets it."""
-    content = parse(submit.body)
+    content = parse_json(submit.body)
     if not isinstance(content, dict):
         return submit.body
     content['stream'] = True
@@ -225,7 +227,7 @@
     return orjson.dumps(content)
 
 
-async def refused(
+async def read_error_response(
     response: httpcore.Response,
 ) -> Result[Answer, EndpointFailure]:
     """Return the outcome of a response without a stream.
@@ -238,79 +240,77 @@
         return Err(EndpointFailure('not_run', 'engine is full'))
     if response.status == CONFLICT:
         return Err(EndpointFailure('not_run', 'request id is in use'))
-    if response.status >= SERVER_ERROR:
+    if response.status >= FIRST_SERVER_ERROR_STATUS:
         reason = f'engine status {response.status}'
         return Err(EndpointFailure('unknown', reason))
-    return Ok(Answer(response.status, headers_of(response), body))
+    return Ok(Answer(response.status, response_headers(response), body))
 
 
-async def read_answer(
+async def read_event_stream(
     response: httpcore.Response,
-    on_piece: Callable[[Piece], Awaitable[None]],
+    on_delta: Callable[[TextDelta], Awaitable[None]],
 ) -> Result[Answer, EndpointFailure]:
     """Read a stream to its closing mark."""
-    progress = Progress()
+    state = StreamState()
     reader = EventReader()
     stream = response.aiter_stream()
     async for raw in stream:
-        piece = Piece()
+        delta = TextDelta()
         for text in reader.feed(raw):
-            absorb(text, piece, progress)
-        if piece.text:
-            await on_piece(piece)
-        if progress.whole or progress.error:
+            apply_event(text, delta, state)
+        if delta.text:
+            await on_delta(delta)
+        if state.complete or state.error:
             break
-    if progress.error:
-        return Err(EndpointFailure('unknown', progress.error))
-    if not progress.whole:
+    if state.error:
+        return Err(EndpointFailure('unknown', state.error))
+    if not state.complete:
         reason = 'stream ended without its closing mark'
         return Err(EndpointFailure('unknown', reason, broken=True))
-    await read_tail(stream)
+    await read_remaining(stream)
     return Ok(
         Answer(
             response.status,
-            headers_of(response),
-            finish_reason=progress.finish_reason,
-            prompt_tokens=progress.prompt_tokens,
-            completion_tokens=progress.completion_tokens,
+            response_headers(response),
+            finish_reason=state.finish_reason,
+            prompt_tokens=state.prompt_tokens,
+            completion_tokens=state.completion_tokens,
         )
     )
 
 
-async def read_tail(stream: AsyncIterator[bytes]) -> None:
+async def read_remaining(stream: AsyncIterator[bytes]) -> None:
     """Read what follows the closing mark, so that the connection is reused."""
-    with anyio.move_on_after(TAIL_WAIT_S):
+    with anyio.move_on_after(REMAINING_TIMEOUT_S):
         async for _ in stream:
             continue
 
 
-def absorb(text: str, piece: Piece, progress: Progress) -> None:
+def apply_event(text: str, delta: TextDelta, state: StreamState) -> None:
     """Add one event of the stream."""
-    if text == DONE_MARK:
-        progress.whole = True
+    if text == END_MARKER:
+        state.complete = True
         return
-    content = parse(text)
+    content = parse_json(text)
     if not isinstance(content, dict):
         return
     if content.get('error'):
-        progress.error = 'engine reported an error in the stream'
+        state.error = 'engine reported an error in the stream'
         return
-    note_usage(content.get('usage'), progress)
+    update_usage(content.get('usage'), state)
     for choice in content.get('choices') or ():
         added = choice_text(choice)
         if added:
-            piece.text += added
-            piece.tokens += 1
-        progress.finish_reason = (
-            choice.get('finish_reason') or progress.finish_reason
-        )
+            delta.text += added
+            delta.tokens += 1
+        state.finish_reason = choice.get('finish_reason') or state.finish_reason
 
 
-def note_usage(usage: object, progress: Progress) -> None:
+def update_usage(usage: object, state: StreamState) -> None:
     """Keep the token counts of an event that has them."""
     if isinstance(usage, dict):
-        progress.prompt_tokens = number(usage, 'prompt_tokens')
-        progress.completion_tokens = number(usage, 'completion_tokens')
+        state.prompt_tokens = int_field(usage, 'prompt_tokens')
+        state.completion_tokens = int_field(usage, 'completion_tokens')
 
 
 def choice_text(choice: dict[str, Any]) -> str:
@@ -321,7 +321,7 @@
     return choice.get('text') or ''
 
 
-def parse(raw: bytes | str) -> object:
+def parse_json(raw: bytes | str) -> object:
     """Return JSON content, or None for anything else."""
     try:
         return orjson.loads(raw)
@@ -329,24 +329,24 @@
         return None
 
 
-def mapping(content: object) -> dict[str, object]:
+def as_object(content: object) -> dict[str, object]:
     """Return JSON content as an object; empty for anything else."""
     return content if isinstance(content, dict) else {}
 
 
-def number(content: object, name: str) -> int:
+def int_field(content: object, name: str) -> int:
     """Return an integer field of an object; 0 when there is none."""
-    found = mapping(content).get(name)
+    found = as_object(content).get(name)
     return found if isinstance(found, int) else 0
 
 
-def texts(content: object, name: str) -> list[str]:
+def string_list(content: object, name: str) -> list[str]:
     """Return a list of strings from a field of an object."""
-    found = mapping(content).get(name)
+    found = as_object(content).get(name)
     return [str(one) for one in found] if isinstance(found, list) else []
 
 
-def rows(content: object, name: str) -> list[dict[str, object]]:
+def object_list(content: object, name: str) -> list[dict[str, object]]:
     """Return a list of objects from a field of an object."""
-    found = mapping(content).get(name)
-    return [mapping(one) for one in found] if isinstance(found, list) else []
+    found = as_object(content).get(name)
+    return [as_object(one) for one in found] if isinstance(found, list) else []
--- a/src/quetzaldyke/connection/frames.py
+++ b/src/quetzaldyke/connection/frames.py
@@ -46,11 +46,11 @@
 
     async def read(self) -> list[object]:
         """Return the next frame's array; raises EndOfStream at the end."""
-        header = await self.take(HEADER.size)
+        header = await self.read_exactly(HEADER.size)
         (length,) = HEADER.unpack(header)
         if length > self.max_bytes:
             raise FrameError(f'frame of {length} bytes is over the limit')
-        return decode_row(await self.take(length))
+        return decode_row(await self.read_exactly(length))
 
     def buffered(self) -> list[object] | None:
         """Return the next frame's array if it has arrived already."""
@@ -64,7 +64,7 @@
         del self.buffer[:end]
         return decode_row(body)
 
-    async def take(self, length: int) -> bytes:
+    async def read_exactly(self, length: int) -> bytes:
         """Return exactly `length` bytes."""
         while len(self.buffer) < length:
             self.buffer += await self.stream.receive(READ_BYTES)
@@ -85,7 +85,7 @@
 
 
 @dataclass(slots=True)
-class Outbox:
+class WriteBuffer:
     """Bytes that wait for the next write on a stream."""
 
     pending: bytearray = field(default_factory=bytearray)
--- a/src/quetzaldyke/connection/http_client.py
+++ b/src/quetzaldyke/connection/http_client.py
@@ -20,13 +20,13 @@
     'Content-Type': 'application/json',
 }
 # No request was sent: neither a connection nor a place in line.
-NEVER_SENT: Final = (
+NOT_SENT_ERRORS: Final = (
     httpcore.ConnectError,
     httpcore.ConnectTimeout,
     httpcore.PoolTimeout,
 )
 # The request may have been sent.
-BROKEN_CONNECTION: Final = (
+TRANSPORT_ERRORS: Final = (
     httpcore.NetworkError,
     httpcore.ProtocolError,
     httpcore.TimeoutException,
@@ -46,7 +46,7 @@
     address: str
     max_connections: int
     idle: list[httpcore.AsyncHTTPConnection] = field(default_factory=list)
-    places: anyio.Semaphore | None = None
+    connection_slots: anyio.Semaphore | None = None
 
     async def request(
         self,
@@ -57,7 +57,7 @@
     ) -> httpcore.Response:
         """Return the whole answer.
 
-        Raises one of `NEVER_SENT` or `BROKEN_CONNECTION`.
+        Raises one of `NOT_SENT_ERRORS` or `TRANSPORT_ERRORS`.
         """
         timeouts = {'connect': timeout_s, 'read': timeout_s, 'write': timeout_s}
         with anyio.fail_after(timeout_s):
@@ -98,19 +98,19 @@
         timeout_s: float,
     ) -> AsyncIterator[httpcore.AsyncHTTPConnection]:
         """Hold a connection; one that is not reusable is closed after."""
-        places = await self.take_place(timeout_s)
+        connection_slots = await self.acquire_connection_slot(timeout_s)
         try:
-            async with self.lend_connection() as connection:
+            async with self.exclusive_connection() as connection:
                 yield connection
         finally:
-            places.release()
+            connection_slots.release()
 
     @asynccontextmanager
-    async def lend_connection(
+    async def exclusive_connection(
         self,
     ) -> AsyncIterator[httpcore.AsyncHTTPConnection]:
         """Hold a connection that no other request uses."""
-        connection = await self.take_idle()
+        connection = await self.acquire_connection()
         try:
             yield connection
         finally:
@@ -119,17 +119,19 @@
             else:
                 await close(connection)
 
-    async def take_place(self, timeout_s: float) -> anyio.Semaphore:
+    async def acquire_connection_slot(
+        self, timeout_s: float
+    ) -> anyio.Semaphore:
         """Wait in line for a connection."""
-        if self.places is None:
-            self.places = anyio.Semaphore(self.max_connections)
+        if self.connection_slots is None:
+            self.connection_slots = anyio.Semaphore(self.max_connections)
         # Shorter than the caller's limit, which counts as sent.
         with anyio.move_on_after(timeout_s / 2):
-            await self.places.acquire()
-            return self.places
+            await self.connection_slots.acquire()
+            return self.connection_slots
         raise httpcore.PoolTimeout
 
-    async def take_idle(self) -> httpcore.AsyncHTTPConnection:
+    async def acquire_connection(self) -> httpcore.AsyncHTTPConnection:
         """Return an open connection, or a new one that is not yet open."""
         while self.idle:
             connection = self.idle.pop()
--- a/src/quetzaldyke/connection/http_endpoint.py
+++ b/src/quetzaldyke/connection/http_endpoint.py
@@ -14,17 +14,17 @@
 import anyio
 import httpcore
 
-from quetzaldyke.connection.http_stream import LoopbackBackend
+from quetzaldyke.connection.loopback_backend import LoopbackBackend
 from quetzaldyke.connection.messages import Submit
 
-KEEPALIVE_S: Final = 4.0
-MAX_IDLE: Final = 64
+KEEPALIVE_EXPIRY_S: Final = 4.0
+MAX_IDLE_CONNECTIONS: Final = 64
 CONTROL_TIMEOUT_S: Final = 2.0
-SUCCESS_LIMIT: Final = 300
-SERVER_ERROR: Final = 500
+FIRST_REDIRECT_STATUS: Final = 300
+FIRST_SERVER_ERROR_STATUS: Final = 500
 
 # Headers that belong to one connection and are never passed on.
-CONNECTION_HEADERS: Final = frozenset(
+HOP_BY_HOP_HEADERS: Final = frozenset(
     (
         'connection',
         'content-length',
@@ -39,12 +39,12 @@
     )
 )
 
-NOT_REACHED = (
+NOT_SENT_ERRORS = (
     httpcore.ConnectError,
     httpcore.ConnectTimeout,
     httpcore.PoolTimeout,
 )
-BROKEN = (
+TRANSPORT_ERRORS = (
     httpcore.NetworkError,
     httpcore.ProtocolError,
     httpcore.TimeoutException,
@@ -79,11 +79,11 @@
 
 def make_pool() -> httpcore.AsyncConnectionPool:
     """Return a pool for commands that call other processes' HTTP."""
-    return httpcore.AsyncConnectionPool(keepalive_expiry=KEEPALIVE_S)
+    return httpcore.AsyncConnectionPool(keepalive_expiry=KEEPALIVE_EXPIRY_S)
 
 
 @dataclass(slots=True)
-class Connections:
+class ConnectionPool:
     """Connections to one endpoint, each used by one request at a time.
 
     The library's own pool looks at every connection for every other one at
@@ -93,7 +93,7 @@
     address: str
     idle: list[httpcore.AsyncHTTPConnection] = field(default_factory=list)
 
-    async def take(self) -> httpcore.AsyncHTTPConnection:
+    async def acquire(self) -> httpcore.AsyncHTTPConnection:
         """Return an idle connection that is still open, or a new one."""
         while self.idle:
             connection = self.idle.pop()
@@ -103,7 +103,7 @@
         host, _, port = self.address.rpartition(':')
         return httpcore.AsyncHTTPConnection(
             httpcore.Origin(b'http', host.strip('[]').encode(), int(port)),
-            keepalive_expiry=KEEPALIVE_S,
+            keepalive_expiry=KEEPALIVE_EXPIRY_S,
             network_backend=LoopbackBackend(),
         )
 
@@ -117,22 +117,22 @@
         read_s: float | None = None,
     ) -> AsyncIterator[httpcore.Response]:
         """Send a request; `read_s` limits the wait for each read."""
-        connection = await self.take()
+        connection = await self.acquire()
         try:
             async with connection.stream(
                 method,
                 f'http://{self.address}{path}',
                 headers=list(headers),
                 content=body,
-                extensions=http_timeouts(read_s),
+                extensions=timeout_extension(read_s),
             ) as response:
                 yield response
         finally:
-            await self.put_back(connection)
+            await self.release(connection)
 
-    async def put_back(self, connection: httpcore.AsyncHTTPConnection) -> None:
+    async def release(self, connection: httpcore.AsyncHTTPConnection) -> None:
         """Keep a connection whose request is complete; close any other."""
-        if connection.is_idle() and len(self.idle) < MAX_IDLE:
+        if connection.is_idle() and len(self.idle) < MAX_IDLE_CONNECTIONS:
             self.idle.append(connection)
             return
         with anyio.CancelScope(shield=True):
@@ -144,45 +144,48 @@
             await self.idle.pop().aclose()
 
 
-def failure_of(exc: Exception) -> EndpointFailure:
+def classify_error(exc: Exception) -> EndpointFailure:
     """Return what a fault of the connection proves."""
     name = type(exc).__name__
     if isinstance(exc, httpcore.LocalProtocolError):
         return EndpointFailure('not_run', 'malformed request')
-    if isinstance(exc, NOT_REACHED):
+    if isinstance(exc, NOT_SENT_ERRORS):
         reason = f'endpoint not reached: {name}'
         return EndpointFailure('not_run', reason, broken=True)
     return EndpointFailure('unknown', f'endpoint failed: {name}', broken=True)
 
 
-def passed_on(headers: Mapping[str, str]) -> list[tuple[str, str]]:
+def end_to_end_headers(headers: Mapping[str, str]) -> list[tuple[str, str]]:
     """Return the headers that go on to the next hop.
 
-    >>> passed_on({'Host': 'a', 'Accept': 'b'})
+    >>> end_to_end_headers({'Host': 'a', 'Accept': 'b'})
     [('Accept', 'b')]
     """
     return [
         (name, content)
         for name, content in headers.items()
-        if name.lower() not in CONNECTION_HEADERS
+        if name.lower() not in HOP_BY_HOP_HEADERS
     ]
 
 
 def request_headers(submit: Submit) -> list[tuple[str, str]]:
     """Return the headers of a request that is sent to the endpoint."""
-    return [*passed_on(submit.headers), ('X-Request-Id', submit.request_id)]
+    return [
+        *end_to_end_headers(submit.headers),
+        ('X-Request-Id', submit.request_id),
+    ]
 
 
-def headers_of(response: httpcore.Response) -> dict[str, str]:
+def response_headers(response: httpcore.Response) -> dict[str, str]:
     """Return a response's headers without those of the connection."""
     named = {
         name.decode('latin-1').lower(): content.decode('latin-1')
         for name, content in response.headers
     }
-    return dict(passed_on(named))
+    return dict(end_to_end_headers(named))
 
 
-def http_timeouts(read_s: float | None) -> dict[str, object]:
+def timeout_extension(read_s: float | None) -> dict[str, object]:
     """Return the timeouts of a request; None waits without a limit."""
     return {
         'timeout': {
--- a/src/quetzaldyke/connection/http_server.py
+++ b/src/quetzaldyke/connection/http_server.py
@@ -25,7 +25,7 @@
 import uvicorn
 from anyio.abc import TaskStatus
 
-from quetzaldyke.connection.caller_channel import CallerChannel
+from quetzaldyke.connection.caller_connection import CallerConnection
 from quetzaldyke.connection.listener import BACKLOG, bind
 
 Scope = MutableMapping[str, Any]
@@ -37,7 +37,7 @@
 # a connection that the server is just closing.
 KEEP_ALIVE_S: Final = 75
 # An accepted connection gets its transport and protocol within these.
-ACCEPT_TURNS: Final = 4
+ACCEPT_ITERATIONS: Final = 4
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
     protocol: type[asyncio.Protocol] | Literal['httptools'] = 'httptools'
 
 
-class QuietServer(uvicorn.Server):
+class EmbeddedServer(uvicorn.Server):
     """uvicorn server without signal handlers."""
 
     def __init__(self, config: uvicorn.Config) -> None:
@@ -74,7 +74,7 @@
         sockets: list[socket.socket] | None = None,
     ) -> None:
         """Give accepted connections their handlers, then stop."""
-        await end_accepting(self.servers)
+        await stop_accepting(self.servers)
         await super().shutdown(sockets)
 
     @contextlib.contextmanager
@@ -88,17 +88,17 @@
     """A running server."""
 
     address: str
-    server: QuietServer
+    server: EmbeddedServer
     aborted: bool = False
 
     async def abort(self) -> None:
         """Close the listener, break all connections, end all requests."""
         listeners = getattr(self.server, 'servers', ())
-        self.break_all()
-        await end_accepting(listeners)
+        self.abort_connections()
+        await stop_accepting(listeners)
         for listener in listeners:
             listener.close()
-        self.break_all()
+        self.abort_connections()
 
     def time_out_callers(
         self,
@@ -109,15 +109,17 @@
         now_s = asyncio.get_running_loop().time()
         ended: Counter[str] = Counter()
         for connection in list(self.server.server_state.connections):
-            if not isinstance(connection, CallerChannel):
+            if not isinstance(connection, CallerConnection):
                 continue
-            reason = connection.overdue(header_timeout_s, idle_timeout_s, now_s)
+            reason = connection.expired_timeout(
+                header_timeout_s, idle_timeout_s, now_s
+            )
             if reason is not None:
-                connection.time_out(reason)
+                connection.close_expired(reason)
                 ended[reason] += 1
         return ended
 
-    def break_all(self) -> None:
+    def abort_connections(self) -> None:
         """Break all connections and end their requests."""
         self.aborted = True
         for connection in list(self.server.server_state.connections):
@@ -125,14 +127,14 @@
         for task in list(self.server.server_state.tasks):
             task.cancel()
 
-    def break_connection(self, client: tuple[str, int]) -> None:
+    def abort_connection(self, client: tuple[str, int]) -> None:
         """Break the connection of one client (`scope['client']`)."""
         for connection in list(self.server.server_state.connections):
             if getattr(connection, 'client', None) == client:
                 abort_transport(connection)
 
 
-async def end_accepting(listeners: Iterable[asyncio.Server]) -> None:
+async def stop_accepting(listeners: Iterable[asyncio.Server]) -> None:
     """Leave new connections in the listeners' queues.
 
     asyncio forgets a connection, without closing it, whose accept is
@@ -144,7 +146,7 @@
         for bound in listener.sockets:
             loop.remove_reader(bound.fileno())
     with anyio.CancelScope(shield=True):
-        for _ in range(ACCEPT_TURNS):
+        for _ in range(ACCEPT_ITERATIONS):
             await anyio.sleep(0)
 
 
@@ -163,10 +165,10 @@
 
     cancelled = anyio.get_cancelled_exc_class()
 
-    async def guarded(scope: Scope, receive: Receive, send: Send) -> None:
+    async def wrapped_app(scope: Scope, receive: Receive, send: Send) -> None:
         if http.aborted:
             # Accepted by the listener just before it was closed.
-            http.break_connection(tuple(scope['client']))
+            http.abort_connection(tuple(scope['client']))
             await anyio.sleep(0)
             return
         try:
@@ -175,9 +177,9 @@
             if not http.aborted:
                 raise
 
-    server = QuietServer(
+    server = EmbeddedServer(
         uvicorn.Config(
-            guarded,
+            wrapped_app,
             loop='none',
             http=options.protocol,
             ws='none',
--- a/src/quetzaldyke/connection/kv_http.py
+++ b/src/quetzaldyke/connection/kv_http.py
@@ -18,8 +18,8 @@
 from result import Err, Ok, Result
 
 from quetzaldyke.connection.http_client import (
-    BROKEN_CONNECTION,
-    NEVER_SENT,
+    NOT_SENT_ERRORS,
+    TRANSPORT_ERRORS,
     HttpClient,
 )
 from quetzaldyke.parts.kv import (
@@ -35,21 +35,21 @@
 MAX_WATCHES: Final = 16
 OK_STATUS: Final = 200
 NOT_FOUND_STATUS: Final = 404
-REFUSED_STATUS: Final = 400
+BAD_REQUEST_STATUS: Final = 400
 MAX_BYTE: Final = 255
 Body = dict[str, Any]
 
 
-def text_of(raw: bytes) -> str:
+def encode_base64(raw: bytes) -> str:
     """Return bytes as the gateway expects them.
 
-    >>> text_of(b'claims/1')
+    >>> encode_base64(b'claims/1')
     'Y2xhaW1zLzE='
     """
     return base64.b64encode(raw).decode()
 
 
-def bytes_of(body: Body, name: str) -> bytes:
+def decode_field(body: Body, name: str) -> bytes:
     """Return a bytes field; the gateway leaves out empty ones."""
     return base64.b64decode(body.get(name, ''))
 
@@ -71,11 +71,11 @@
     return b'\0'
 
 
-def record_of(kv: Body) -> Record:
+def parse_record(kv: Body) -> Record:
     """Return a key of an answer."""
     return Record(
-        bytes_of(kv, 'key').decode(),
-        bytes_of(kv, 'value'),
+        decode_field(kv, 'key').decode(),
+        decode_field(kv, 'value'),
         int(kv['mod_revision']),
     )
 
@@ -124,19 +124,21 @@
 
     async def get(self, key: str) -> Result[Record | None, KvError]:
         """Read one key."""
-        answer = await self.call('kv/range', {'key': text_of(key.encode())})
-        if isinstance(answer, Err):
-            return answer
-        kvs = answer.ok_value.get('kvs') or []
-        return Ok(record_of(kvs[0]) if kvs else None)
+        response_body = await self.call(
+            'kv/range', {'key': encode_base64(key.encode())}
+        )
+        if isinstance(response_body, Err):
+            return response_body
+        kvs = response_body.ok_value.get('kvs') or []
+        return Ok(parse_record(kvs[0]) if kvs else None)
 
     async def list_prefix(self, prefix: str) -> Result[list[Record], KvError]:
         """Read all keys that start with the prefix."""
-        answer = await self.call('kv/range', range_body(prefix))
-        if isinstance(answer, Err):
-            return answer
-        kvs = answer.ok_value.get('kvs') or []
-        return Ok([record_of(one) for one in kvs])
+        response_body = await self.call('kv/range', range_body(prefix))
+        if isinstance(response_body, Err):
+            return response_body
+        kvs = response_body.ok_value.get('kvs') or []
+        return Ok([parse_record(one) for one in kvs])
 
     async def put_if(
         self,
@@ -148,7 +150,10 @@
         """Write if the key's revision is as given; return the new one."""
         if len(value) > MAX_VALUE_BYTES:
             return Err(KvError('too_large', f'{key}: {len(value)} bytes'))
-        put: Body = {'key': text_of(key.encode()), 'value': text_of(value)}
+        put: Body = {
+            'key': encode_base64(key.encode()),
+            'value': encode_base64(value),
+        }
         if lease_id:
             put['lease'] = str(lease_id)
         return await self.transact(key, revision, {'request_put': put})
@@ -159,9 +164,9 @@
         revision: int,
     ) -> Result[None, KvError]:
         """Delete if the key's revision is as given."""
-        erase = {'request_delete_range': {'key': text_of(key.encode())}}
-        answer = await self.transact(key, revision, erase)
-        return answer.map(lambda _revision: None)
+        delete = {'request_delete_range': {'key': encode_base64(key.encode())}}
+        response_body = await self.transact(key, revision, delete)
+        return response_body.map(lambda _revision: None)
 
     async def transact(
         self,
@@ -171,37 +176,44 @@
     ) -> Result[int, KvError]:
         """Run one operation if the key's revision is as given."""
         compare = {
-            'key': text_of(key.encode()),
+            'key': encode_base64(key.encode()),
             'target': 'MOD',
             'result': 'EQUAL',
             'mod_revision': str(revision),
         }
         body = {'compare': [compare], 'success': [operation], 'failure': []}
-        answer = await self.call('kv/txn', body)
-        if isinstance(answer, Err):
-            return answer
-        if not answer.ok_value.get('succeeded', False):
+        response_body = await self.call('kv/txn', body)
+        if isinstance(response_body, Err):
+            return response_body
+        if not response_body.ok_value.get('succeeded', False):
             return Err(KvError('conflict', f'{key}: not at {revision}'))
-        return Ok(int(answer.ok_value['header']['revision']))
+        return Ok(int(response_body.ok_value['header']['revision']))
 
     async def grant_lease(self, ttl_s: int) -> Result[int, KvError]:
         """Create a lease and return its id."""
-        answer = await self.call('lease/grant', {'TTL': str(ttl_s), 'ID': '0'})
-        return answer.map(lambda body: int(body['ID']))
+        response_body = await self.call(
+            'lease/grant', {'TTL': str(ttl_s), 'ID': '0'}
+        )
+        return response_body.map(lambda body: int(body['ID']))
 
     async def keep_alive(self, lease_id: int) -> Result[bool, KvError]:
         """Extend a lease; False when it has already lapsed."""
-        answer = await self.call('lease/keepalive', {'ID': str(lease_id)})
-        return answer.map(
+        response_body = await self.call(
+            'lease/keepalive', {'ID': str(lease_id)}
+        )
+        return response_body.map(
             lambda body: int(body.get('result', {}).get('TTL', 0)) > 0,
         )
 
     async def revoke(self, lease_id: int) -> Result[None, KvError]:
         """End a lease and delete its keys; ended leases are no error."""
-        answer = await self.call('lease/revoke', {'ID': str(lease_id)})
-        if isinstance(answer, Err) and answer.err_value.kind == 'conflict':
+        response_body = await self.call('lease/revoke', {'ID': str(lease_id)})
+        if (
+            isinstance(response_body, Err)
+            and response_body.err_value.kind == 'conflict'
+        ):
             return Ok(None)
-        return answer.map(lambda _body: None)
+        return response_body.map(lambda _body: None)
 
     async def watch(
         self,
@@ -225,13 +237,13 @@
                 content,
                 self.timeout_s,
             ) as response:
-                async for line in lines_of(response):
+                async for line in iter_lines(response):
                     result = json.loads(line).get('result', {})
                     if result.get('canceled', False):
                         return
                     for event in result.get('events') or ():
-                        yield change_of(event)
-        except BROKEN_CONNECTION:
+                        yield parse_change(event)
+        except TRANSPORT_ERRORS:
             return
 
     async def call(self, path: str, body: Body) -> Result[Body, KvError]:
@@ -243,25 +255,28 @@
                 json.dumps(body).encode(),
                 self.timeout_s,
             )
-        except NEVER_SENT as exc:
+        except NOT_SENT_ERRORS as exc:
             return Err(KvError('unavailable', repr(exc)))
-        except BROKEN_CONNECTION as exc:
+        except TRANSPORT_ERRORS as exc:
             return Err(KvError('unknown', repr(exc)))
-        return read_answer(response)
+        return parse_response(response)
 
 
 def range_body(prefix: str) -> Body:
     """Return the fields that select all keys with a prefix."""
     start = prefix.encode() or b'\0'
-    return {'key': text_of(start), 'range_end': text_of(prefix_end(prefix))}
+    return {
+        'key': encode_base64(start),
+        'range_end': encode_base64(prefix_end(prefix)),
+    }
 
 
-def change_of(event: Body) -> Change:
+def parse_change(event: Body) -> Change:
     """Return a change of a watch."""
-    return Change(record_of(event['kv']), event.get('type') == 'DELETE')
+    return Change(parse_record(event['kv']), event.get('type') == 'DELETE')
 
 
-def read_answer(response: httpcore.Response) -> Result[Body, KvError]:
+def parse_response(response: httpcore.Response) -> Result[Body, KvError]:
     """Return the body of an answer, or the error that it tells.
 
     Only errors that the service gives before it applies anything are
@@ -275,18 +290,18 @@
     text = response.content.decode(errors='replace')
     if response.status == NOT_FOUND_STATUS:
         return Err(KvError('conflict', text))
-    if response.status == REFUSED_STATUS:
+    if response.status == BAD_REQUEST_STATUS:
         if 'too large' in text:
             return Err(KvError('too_large', text))
         return Err(KvError('unavailable', text))
     return Err(KvError('unknown', f'{response.status} {text}'))
 
 
-async def lines_of(response: httpcore.Response) -> AsyncIterator[str]:
+async def iter_lines(response: httpcore.Response) -> AsyncIterator[str]:
     """Yield the lines of a streamed answer."""
     pending = b''
-    async for part in response.aiter_stream():
-        *whole, pending = (pending + part).split(b'\n')
-        for line in whole:
+    async for chunk in response.aiter_stream():
+        *complete, pending = (pending + chunk).split(b'\n')
+        for line in complete:
             if line.strip():
                 yield line.decode()
--- a/src/quetzaldyke/connection/links.py
+++ b/src/quetzaldyke/connection/links.py
@@ -28,7 +28,7 @@
 )
 from quetzaldyke.connection.peer import (
     HEARTBEAT_INTERVAL_S,
-    MISSED_INTERVALS,
+    MAX_MISSED_INTERVALS,
     HandshakeError,
     PeerClosed,
     PeerSession,
@@ -42,7 +42,7 @@
 HEARTBEATS_PER_S: Final = 25
 
 # The kernel notices an instance that vanished, whatever the interval.
-KEEPALIVE_OPTIONS: Final = (
+SOCKET_OPTIONS: Final = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 2),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1),
@@ -55,7 +55,7 @@
 OnMessage = Callable[[PeerSession, Message], Awaitable[None]]
 OnClose = Callable[[PeerSession], None]
 
-CONNECTION_FAULTS = (
+CONNECTION_ERRORS = (
     OSError,
     TimeoutError,
     FrameError,
@@ -82,12 +82,12 @@
     open_sessions: int = 0
 
 
-def stamp_row(stamp: Stamp) -> list[int | str]:
+def stamp_to_row(stamp: Stamp) -> list[int | str]:
     """Return the wire form of a stamp."""
     return [stamp.wall_ms, stamp.counter, stamp.process]
 
 
-def observe_row(clock: HybridClock, row: list[int | str]) -> None:
+def observe_stamp_row(clock: HybridClock, row: list[int | str]) -> None:
     """Advance the clock by a stamp from the wire."""
     match row:
         case [int(wall_ms), int(counter), str(process)]:
@@ -107,34 +107,34 @@
     """Return a heartbeat with the present stamp, version and interval."""
     interval_s = heartbeat_interval_s(options.open_sessions)
     return Heartbeat(
-        stamp_row(options.clock.now()),
+        stamp_to_row(options.clock.now()),
         options.config_version(),
         int(interval_s * MS_IN_S),
     )
 
 
-def note_heartbeat(
+def handle_heartbeat(
     session: PeerSession,
     options: LinkOptions,
     heartbeat: Heartbeat,
 ) -> None:
     """Follow the peer's clock and its announced interval."""
-    observe_row(options.clock, heartbeat.stamp)
+    observe_stamp_row(options.clock, heartbeat.stamp)
     session.peer_interval_s = heartbeat.interval_ms / MS_IN_S
     # The peer follows this side's interval when it is the longer one.
     slower_s = max(
         session.peer_interval_s,
         heartbeat_interval_s(options.open_sessions),
     )
-    session.silence_limit_s = MISSED_INTERVALS * slower_s
+    session.silence_timeout_s = MAX_MISSED_INTERVALS * slower_s
 
 
-async def serve_session(session: PeerSession, options: LinkOptions) -> None:
+async def run_session(session: PeerSession, options: LinkOptions) -> None:
     """Run an authenticated session until it ends."""
     options.open_sessions += 1
     async with anyio.create_task_group() as group:
         group.start_soon(write_until_closed, session, group.cancel_scope)
-        group.start_soon(session.end_when_silent, group.cancel_scope)
+        group.start_soon(session.cancel_when_silent, group.cancel_scope)
         group.start_soon(
             session.send_heartbeats,
             lambda: make_heartbeat(options),
@@ -143,9 +143,9 @@
             await options.on_open(session)
             async for message in session.messages():
                 if isinstance(message, Heartbeat):
-                    note_heartbeat(session, options, message)
+                    handle_heartbeat(session, options, message)
                 await options.on_message(session, message)
-        except CONNECTION_FAULTS:
+        except CONNECTION_ERRORS:
             pass
         finally:
             session.closed = True
@@ -161,7 +161,7 @@
     """Write queued frames; a broken stream ends the session."""
     try:
         await session.write_queued()
-    except CONNECTION_FAULTS:
+    except CONNECTION_ERRORS:
         scope.cancel()
 
 
@@ -179,16 +179,16 @@
                 options.make_hello(),
                 dialer,
             )
-        except CONNECTION_FAULTS:
+        except CONNECTION_ERRORS:
             return
-        observe_row(options.clock, session.remote.stamp)
-        await serve_session(session, options)
+        observe_stamp_row(options.clock, session.remote.stamp)
+        await run_session(session, options)
 
 
-def set_keepalive(stream: SocketStream) -> None:
+def set_socket_options(stream: SocketStream) -> None:
     """Let the kernel close connections to instances that vanished."""
     raw = stream.extra(SocketAttribute.raw_socket)
-    for level, option, setting in KEEPALIVE_OPTIONS:
+    for level, option, setting in SOCKET_OPTIONS:
         raw.setsockopt(level, option, setting)
 
 
@@ -199,7 +199,7 @@
         stream = await anyio.connect_tcp(host.strip('[]'), int(port))
     except OSError:
         return False
-    set_keepalive(stream)
+    set_socket_options(stream)
     await handle_stream(stream, options, dialer=True)
     return True
 
@@ -220,7 +220,7 @@
     task_status.started(f'{host}:{bound}')
 
     async def accept(stream: SocketStream) -> None:
-        set_keepalive(stream)
+        set_socket_options(stream)
         await handle_stream(stream, options, dialer=False)
 
     async with listener:
--- a/src/quetzaldyke/connection/listener.py
+++ b/src/quetzaldyke/connection/listener.py
@@ -17,14 +17,14 @@
 def bind(address: str) -> socket.socket:
     """Return a bound socket; port 0 takes any free port."""
     host, _, port = address.rpartition(':')
-    bare = host.strip('[]')
-    family = socket.AF_INET6 if ':' in bare else socket.AF_INET
+    unbracketed_host = host.strip('[]')
+    family = socket.AF_INET6 if ':' in unbracketed_host else socket.AF_INET
     # asyncio turns Nagle's algorithm off only on sockets with this protocol
     # number; without it each answer took 40 ms.
     bound = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
-        bound.bind((bare, int(port)))
+        bound.bind((unbracketed_host, int(port)))
     except OSError:
         bound.close()
         raise
--- a/src/quetzaldyke/connection/http_stream.py
+++ b/src/quetzaldyke/connection/loopback_backend.py
@@ -16,7 +16,7 @@
 import httpcore
 from anyio.abc import SocketAttribute, SocketStream
 
-READ_FAULTS = (
+SOCKET_ERRORS = (
     OSError,
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
@@ -45,7 +45,7 @@
             return b''
         except TimeoutError as exc:
             raise httpcore.ReadTimeout(exc) from exc
-        except READ_FAULTS as exc:
+        except SOCKET_ERRORS as exc:
             raise httpcore.ReadError(exc) from exc
 
     async def write(
@@ -59,7 +59,7 @@
                 await self.stream.send(buffer)
         except TimeoutError as exc:
             raise httpcore.WriteTimeout(exc) from exc
-        except READ_FAULTS as exc:
+        except SOCKET_ERRORS as exc:
             raise httpcore.WriteError(exc) from exc
 
     async def aclose(self) -> None:
--- a/src/quetzaldyke/connection/peer.py
+++ b/src/quetzaldyke/connection/peer.py
@@ -22,7 +22,7 @@
     MAX_FRAME_BYTES,
     FrameError,
     FrameReader,
-    Outbox,
+    WriteBuffer,
     encode_frame,
 )
 from quetzaldyke.connection.messages import (
@@ -39,7 +39,7 @@
 FLUSH_INTERVAL_S: Final = 0.002
 HEARTBEAT_INTERVAL_S: Final = 1.0
 # A peer that stays silent for this many of its intervals counts as dead.
-MISSED_INTERVALS: Final = 3.0
+MAX_MISSED_INTERVALS: Final = 3.0
 # A peer that does not read for long has its connection closed, so that its
 # unread messages can't fill this process's memory.
 MAX_PENDING_BYTES: Final = 16_777_216
@@ -60,13 +60,13 @@
     stream: ByteStream
     reader: FrameReader
     remote: Hello
-    outbox: Outbox = field(default_factory=Outbox)
+    write_buffer: WriteBuffer = field(default_factory=WriteBuffer)
     closed: bool = False
-    silence_limit_s: float = HEARTBEAT_INTERVAL_S * MISSED_INTERVALS
+    silence_timeout_s: float = HEARTBEAT_INTERVAL_S * MAX_MISSED_INTERVALS
     # The peer asks for at most one unforced message in this time.
     peer_interval_s: float = HEARTBEAT_INTERVAL_S
     # When the last bytes came.
-    heard_s: float = 0.0
+    last_received_s: float = 0.0
     # Frames sent since the last heartbeat was due.
     sent_frames: int = 0
     # Latest state that goes out with the next write, by message kind.
@@ -76,7 +76,7 @@
         """Queue a message; does nothing on a closed session."""
         if self.closed:
             return
-        self.outbox.put(encode_frame(to_row(message)))
+        self.write_buffer.put(encode_frame(to_row(message)))
         self.sent_frames += 1
 
     def send_with_next(self, message: Message) -> None:
@@ -93,34 +93,34 @@
         while True:
             row = self.reader.buffered()
             if row is None:
-                row = await read_or_none(self.reader)
-                self.heard_s = anyio.current_time()
+                row = await read_row_or_none(self.reader)
+                self.last_received_s = anyio.current_time()
             if row is None:
                 return
             yield from_row(row)
 
-    async def end_when_silent(self, scope: anyio.CancelScope) -> None:
+    async def cancel_when_silent(self, scope: anyio.CancelScope) -> None:
         """Cancel the session's scope after too long a silence.
 
         One sleeping task costs less than a timeout around every read.
         """
-        self.heard_s = anyio.current_time()
-        left_s = self.silence_limit_s
-        while left_s > 0:
-            await anyio.sleep(left_s)
-            due_s = self.heard_s + self.silence_limit_s
-            left_s = due_s - anyio.current_time()
+        self.last_received_s = anyio.current_time()
+        remaining_s = self.silence_timeout_s
+        while remaining_s > 0:
+            await anyio.sleep(remaining_s)
+            due_s = self.last_received_s + self.silence_timeout_s
+            remaining_s = due_s - anyio.current_time()
         scope.cancel()
 
     async def write_queued(self) -> None:
         """Write queued frames, gathered over one flush interval."""
         while not self.closed:
-            await self.outbox.wait()
+            await self.write_buffer.wait()
             await anyio.sleep(FLUSH_INTERVAL_S)
-            if len(self.outbox.pending) > MAX_PENDING_BYTES:
+            if len(self.write_buffer.pending) > MAX_PENDING_BYTES:
                 raise PeerClosed('the peer does not read')
             self.queue_piggyback()
-            await self.stream.send(self.outbox.drain())
+            await self.stream.send(self.write_buffer.drain())
 
     def queue_piggyback(self) -> None:
         """Queue the messages that wait for the next write."""
@@ -151,10 +151,10 @@
 
     async def flush(self) -> None:
         """Write everything that is queued now."""
-        await self.stream.send(self.outbox.drain())
+        await self.stream.send(self.write_buffer.drain())
 
 
-async def read_or_none(reader: FrameReader) -> list[object] | None:
+async def read_row_or_none(reader: FrameReader) -> list[object] | None:
     """Read a row; None when the stream has ended."""
     try:
         return await reader.read()
@@ -167,7 +167,7 @@
         return None
 
 
-def proof(secret: str, challenge: bytes, side: str) -> bytes:
+def compute_proof(secret: str, challenge: bytes, side: str) -> bytes:
     """Return the HMAC that one side owes for a challenge.
 
     The side is part of the text, so that a challenge can't be reflected.
@@ -179,14 +179,14 @@
 async def open_session(
     stream: ByteStream,
     secret: str,
-    own: Hello,
+    own_hello: Hello,
     dialer: bool,
 ) -> PeerSession:
     """Authenticate both sides and exchange Hello."""
     reader = FrameReader(stream, max_bytes=HANDSHAKE_FRAME_BYTES)
     with anyio.fail_after(HANDSHAKE_TIMEOUT_S):
         await authenticate(stream, reader, secret, dialer)
-        await stream.send(encode_frame(to_row(own)))
+        await stream.send(encode_frame(to_row(own_hello)))
         remote = from_row(await reader.read())
     if not isinstance(remote, Hello):
         raise HandshakeError('the first message is not Hello')
@@ -206,14 +206,18 @@
     own_side, peer_side = ('d', 'l') if dialer else ('l', 'd')
     challenge = secrets.token_bytes(CHALLENGE_BYTES)
     await stream.send(encode_frame(['challenge', challenge]))
-    theirs = one_bytes(await reader.read(), 'challenge')
-    await stream.send(encode_frame(['proof', proof(secret, theirs, own_side)]))
-    given = one_bytes(await reader.read(), 'proof')
-    if not hmac.compare_digest(given, proof(secret, challenge, peer_side)):
+    peer_challenge = parse_handshake_row(await reader.read(), 'challenge')
+    await stream.send(
+        encode_frame(['proof', compute_proof(secret, peer_challenge, own_side)])
+    )
+    peer_proof = parse_handshake_row(await reader.read(), 'proof')
+    if not hmac.compare_digest(
+        peer_proof, compute_proof(secret, challenge, peer_side)
+    ):
         raise HandshakeError('wrong credentials')
 
 
-def one_bytes(row: list[object], name: str) -> bytes:
+def parse_handshake_row(row: list[object], name: str) -> bytes:
     """Return the bytes of a handshake row."""
     if len(row) == 2 and row[0] == name and isinstance(row[1], bytes):
         return row[1]
--- a/src/quetzaldyke/connection/service_client.py
+++ b/src/quetzaldyke/connection/service_client.py
@@ -14,26 +14,26 @@
 from result import Err, Ok, Result
 
 from quetzaldyke.connection.http_endpoint import (
-    BROKEN,
     CONTROL_TIMEOUT_S,
-    SERVER_ERROR,
+    FIRST_SERVER_ERROR_STATUS,
+    TRANSPORT_ERRORS,
     Answer,
-    Connections,
+    ConnectionPool,
     EndpointFailure,
-    failure_of,
-    headers_of,
+    classify_error,
     request_headers,
+    response_headers,
 )
 from quetzaldyke.connection.messages import Submit
 
-PART_BYTES: Final = 65536
+CHUNK_BYTES: Final = 65536
 
 
 @dataclass(slots=True)
 class ServiceClient:
     """Connections to one plain service."""
 
-    connections: Connections
+    connections: ConnectionPool
 
     async def healthy(self) -> bool:
         """Tell whether the service answers its health check.
@@ -47,14 +47,14 @@
                 read_s=CONTROL_TIMEOUT_S,
             ) as response:
                 await response.aread()
-        except BROKEN:
+        except TRANSPORT_ERRORS:
             return False
-        return response.status < SERVER_ERROR
+        return response.status < FIRST_SERVER_ERROR_STATUS
 
     async def run(
         self,
         submit: Submit,
-        on_raw: Callable[[bytes], Awaitable[None]],
+        on_chunk: Callable[[bytes], Awaitable[None]],
     ) -> Result[Answer, EndpointFailure]:
         """Run one request and hand on parts of a large answer."""
         try:
@@ -64,21 +64,25 @@
                 request_headers(submit),
                 submit.body,
             ) as response:
-                rest = await pass_parts(response, on_raw)
-                return Ok(Answer(response.status, headers_of(response), rest))
-        except BROKEN as exc:
-            return Err(failure_of(exc))
+                remaining = await forward_chunks(response, on_chunk)
+                return Ok(
+                    Answer(
+                        response.status, response_headers(response), remaining
+                    )
+                )
+        except TRANSPORT_ERRORS as exc:
+            return Err(classify_error(exc))
 
 
-async def pass_parts(
+async def forward_chunks(
     response: httpcore.Response,
-    on_raw: Callable[[bytes], Awaitable[None]],
+    on_chunk: Callable[[bytes], Awaitable[None]],
 ) -> bytes:
     """Hand on full parts of a body and return the rest."""
-    held = bytearray()
-    async for part in response.aiter_stream():
-        held += part
-        while len(held) >= PART_BYTES:
-            await on_raw(bytes(held[:PART_BYTES]))
-            del held[:PART_BYTES]
-    return bytes(held)
+    buffered = bytearray()
+    async for chunk in response.aiter_stream():
+        buffered += chunk
+        while len(buffered) >= CHUNK_BYTES:
+            await on_chunk(bytes(buffered[:CHUNK_BYTES]))
+            del buffered[:CHUNK_BYTES]
+    return bytes(buffered)
--- a/src/quetzaldyke/process/endpoint_monitor.py
+++ b/src/quetzaldyke/process/endpoint_monitor.py
@@ -15,7 +15,7 @@
 import anyio
 from result import Ok
 
-from quetzaldyke.connection.engine_client import EngineClient, number
+from quetzaldyke.connection.engine_client import EngineClient, int_field
 from quetzaldyke.parts.fencing import FencingGate
 from quetzaldyke.parts.suspects import make_crash_id
 from quetzaldyke.parts.timers import Clock
@@ -221,7 +221,7 @@
         self.version = str(state.get('version', self.version))
         self.adapter = str(state.get('adapter', self.adapter))
         self.loading = bool(state.get('loading'))
-        self.gate.observe_token(number(state, 'highest_token'))
+        self.gate.observe_token(int_field(state, 'highest_token'))
 
     async def read_cache_events(self) -> None:
         """Apply the engine's new cache events to the known prefixes.
@@ -242,7 +242,7 @@
         for event in events:
             prefix = str(event.get('prefix', ''))
             self.last_cache_event = max(
-                self.last_cache_event, number(event, 'number')
+                self.last_cache_event, int_field(event, 'number')
             )
             self.prefixes.pop(prefix, None)
             if event.get('kind') == 'stored':
--- a/src/quetzaldyke/process/entry.py
+++ b/src/quetzaldyke/process/entry.py
@@ -19,7 +19,7 @@
 
 from quetzaldyke.connection.http_server import HttpOptions
 from quetzaldyke.connection.kv_http import HttpKeyValueStore
-from quetzaldyke.connection.links import LinkOptions, listen, stamp_row
+from quetzaldyke.connection.links import LinkOptions, listen, stamp_to_row
 from quetzaldyke.connection.messages import (
     PROTOCOL_VERSION,
     Hello,
@@ -169,7 +169,7 @@
             self.incarnation,
             '',
             self.config.version,
-            stamp_row(self.hybrid_clock.now()),
+            stamp_to_row(self.hybrid_clock.now()),
         )
 
     def make_link_options(self) -> LinkOptions:
--- a/src/quetzaldyke/process/request_runner.py
+++ b/src/quetzaldyke/process/request_runner.py
@@ -8,7 +8,7 @@
 
 from result import Err, Ok, Result
 
-from quetzaldyke.connection.engine_client import EngineClient, Piece
+from quetzaldyke.connection.engine_client import EngineClient, TextDelta
 from quetzaldyke.connection.http_endpoint import Answer, EndpointFailure, Ran
 from quetzaldyke.connection.messages import Failed, Started
 from quetzaldyke.connection.service_client import ServiceClient
@@ -69,7 +69,7 @@
         request = self.requests.get(request_id)
         if request is None:
             return
-        request.answer.grant(chunks)
+        request.answer.add_credit(chunks)
         if request.answer.closed:
             self.remove(request)
 
@@ -112,7 +112,9 @@
             lambda piece: self.relay_text(request, piece),
         )
 
-    async def relay_text(self, request: TrackedRequest, piece: Piece) -> None:
+    async def relay_text(
+        self, request: TrackedRequest, piece: TextDelta
+    ) -> None:
         """Relay text and sample the times to first token and between tokens."""
         now_s = self.clock.now()
         if not request.last_token_s:
@@ -129,13 +131,13 @@
         request.tokens += piece.tokens
         request.answer.add_text(piece.text, piece.tokens)
         if request.answer.full:
-            await request.answer.wait_room()
+            await request.answer.wait_for_room()
             request.last_token_s = self.clock.now()
 
     async def relay_raw(self, request: TrackedRequest, raw: bytes) -> None:
         """Relay bytes of a plain service; wait while the buffer is full."""
         request.answer.add_raw(raw)
-        await request.answer.wait_room()
+        await request.answer.wait_for_room()
 
     async def finish(
         self,
@@ -198,7 +200,7 @@
         if isinstance(self.client, EngineClient):
             await self.client.cancel(
                 request.submit.request_id,
-                seen=request.tokens > 0,
+                known_running=request.tokens > 0,
             )
         self.admission.release(request)
         engine = isinstance(self.client, EngineClient)
--- a/src/quetzaldyke/process/sidecar_drain.py
+++ b/src/quetzaldyke/process/sidecar_drain.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from quetzaldyke.connection.links import CONNECTION_FAULTS
+from quetzaldyke.connection.links import CONNECTION_ERRORS
 from quetzaldyke.connection.peer import PeerSession
 from quetzaldyke.process.sidecar_state import SidecarProcess, update_admission
 
@@ -56,10 +56,10 @@
     A close without end of stream could discard bytes that the peer has not
     read yet.
     """
-    while session.outbox.pending and not session.closed:
+    while session.write_buffer.pending and not session.closed:
         await anyio.sleep(POLL_INTERVAL_S)
     session.closed = True
     try:
         await session.stream.send_eof()
-    except CONNECTION_FAULTS:
+    except CONNECTION_ERRORS:
         return
--- a/src/quetzaldyke/process/sidecar_orders.py
+++ b/src/quetzaldyke/process/sidecar_orders.py
@@ -67,7 +67,7 @@
         # A newer order may have been admitted while this one awaited the lock.
         if self.gate.stale(order.fencing_token):
             return 'token is stale'
-        outcome = await client.give_order(order)
+        outcome = await client.execute_order(order)
         return outcome.err_value.reason if isinstance(outcome, Err) else ''
 
     def reply(self, session: PeerSession, order: Order, refusal: str) -> None:
--- a/src/quetzaldyke/process/sidecar_state.py
+++ b/src/quetzaldyke/process/sidecar_state.py
@@ -10,7 +10,7 @@
 from anyio.abc import TaskGroup
 
 from quetzaldyke.connection.engine_client import EngineClient
-from quetzaldyke.connection.http_endpoint import Connections
+from quetzaldyke.connection.http_endpoint import ConnectionPool
 from quetzaldyke.connection.messages import Report
 from quetzaldyke.connection.service_client import ServiceClient
 from quetzaldyke.parts.fencing import FencingGate
@@ -129,7 +129,7 @@
 
 def make_client(settings: SidecarSettings) -> EndpointClient:
     """Return the client for the configured kind of endpoint."""
-    connections = Connections(settings.endpoint_address)
+    connections = ConnectionPool(settings.endpoint_address)
     if settings.endpoint_kind == 'engine':
         return EngineClient(connections)
     return ServiceClient(connections)
--- a/src/quetzaldyke/request/deadline.py
+++ b/src/quetzaldyke/request/deadline.py
@@ -51,7 +51,7 @@
             if call is None:
                 continue
             table.session.send(Cancel(request_id))
-            table.close_call(
+            table.finish_call(
                 call,
                 Failed(request_id, 'unknown', DEADLINE_REASON),
             )
--- a/src/quetzaldyke/standins/faults.py
+++ b/src/quetzaldyke/standins/faults.py
@@ -50,7 +50,7 @@
         """Break the connection of a request instead of answering it."""
         if self.http is not None and request.client is not None:
             host, port = request.client
-            self.http.break_connection((host, port))
+            self.http.abort_connection((host, port))
         return Response(status_code=500)
 
     def guard(self, app: App) -> App:
--- a/tests/test_caller_channel.py
+++ b/tests/test_caller_connection.py
@@ -8,7 +8,7 @@
 import pytest
 from anyio.abc import SocketStream
 
-from quetzaldyke.connection.caller_channel import CallerChannel
+from quetzaldyke.connection.caller_connection import CallerConnection
 from quetzaldyke.connection.http_server import (
     HttpOptions,
     HttpServer,
@@ -25,7 +25,7 @@
     '127.0.0.1:0',
     drain_s=1,
     keep_alive_s=3600,
-    protocol=CallerChannel,
+    protocol=CallerConnection,
 )
 HEAD: Final = b'POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 4\r\n\r\n'
 
@@ -83,10 +83,10 @@
                 await stream.send(sent)
             await until_received(http, sent)
             for channel in http.server.server_state.connections:
-                assert isinstance(channel, CallerChannel)
-                channel.active_s -= after_s
-                if channel.head_since_s is not None:
-                    channel.head_since_s -= after_s
+                assert isinstance(channel, CallerConnection)
+                channel.last_active_s -= after_s
+                if channel.head_started_s is not None:
+                    channel.head_started_s -= after_s
             ended = http.time_out_callers(HEADER_TIMEOUT_S, IDLE_TIMEOUT_S)
             answer = await read_all(stream) if ended else b''
             app.may_answer.set()
@@ -168,7 +168,7 @@
             await stream.send(HEAD + b'abcd')
             await app.entered.wait()
             for channel in http.server.server_state.connections:
-                channel.active_s -= IDLE_TIMEOUT_S + 1
+                channel.last_active_s -= IDLE_TIMEOUT_S + 1
             app.may_answer.set()
             with anyio.fail_after(5):
                 assert (await stream.receive()).startswith(b'HTTP/1.1 200 ')
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -58,7 +58,7 @@
     found = []
     async for event in read_call(table, call):
         found.append(event)
-        if call.finished and not call.source.events:
+        if call.finished and not call.queue.events:
             break
     return found
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -58,9 +58,9 @@
         nothing = cast(Any, None)
         remote = Hello(1, 'sidecar', 'engine-1', 'a', 'inc')
         session = PeerSession(nothing, nothing, remote)
-        session.silence_limit_s = limit_s
+        session.silence_timeout_s = limit_s
         async with anyio.create_task_group() as group:
-            group.start_soon(session.end_when_silent, group.cancel_scope)
+            group.start_soon(session.cancel_when_silent, group.cancel_scope)
             with anyio.move_on_after(5 if ended else 0.1):
                 await anyio.sleep_forever()
             assert group.cancel_scope.cancel_called is ended
--- a/tests/test_http_endpoint.py
+++ b/tests/test_http_endpoint.py
@@ -5,7 +5,7 @@
 import anyio
 from anyio.abc import SocketAttribute, SocketStream
 
-from quetzaldyke.connection.http_endpoint import Connections
+from quetzaldyke.connection.http_endpoint import ConnectionPool
 from sidecar_rig import LIMIT_S
 
 RESPONSE = b'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok'
@@ -33,7 +33,7 @@
         with anyio.fail_after(LIMIT_S):
             async with listener, anyio.create_task_group() as group:
                 group.start_soon(listener.serve, serve)
-                connections = Connections(f'127.0.0.1:{port}')
+                connections = ConnectionPool(f'127.0.0.1:{port}')
                 for _ in range(3):
                     async with connections.stream('GET', '/') as response:
                         assert await response.aread() == b'ok'
--- a/tests/test_sidecar_batch.py
+++ b/tests/test_sidecar_batch.py
@@ -244,7 +244,7 @@
             with anyio.move_on_after(0.1):
                 await late
             assert len(demands) == 2
-            patient.calls.abandon(
+            patient.calls.cancel_call(
                 patient.calls.calls[request.submit.request_id]
             )
             grant = await urgent.receive(BatchGrant)
--- a/tests/test_sidecar_life.py
+++ b/tests/test_sidecar_life.py
@@ -73,7 +73,7 @@
             while not call.finished:
                 entry.send(Window(slow.request_id, 8))
                 await anyio.sleep(0.002)
-            async for event in call.source:
+            async for event in call.queue:
                 text += getattr(event, 'text', '')
             assert text == full_answer('slow', 200)
             await rig.done.wait()
--- a/tests/test_sidecar_relay.py
+++ b/tests/test_sidecar_relay.py
@@ -133,7 +133,7 @@
             while not call.finished:
                 entry.send(Window(slow.request_id, 1))
                 await anyio.sleep(0.002)
-            async for event in call.source:
+            async for event in call.queue:
                 text += getattr(event, 'text', '')
             assert text == full_answer('slow', 400)
             assert slow.request_id not in rig.sidecar.runner.requests
--- a/tests/test_sidecar_service.py
+++ b/tests/test_sidecar_service.py
@@ -11,7 +11,7 @@
 
 from quetzaldyke.connection.answers import READ_AHEAD_BYTES
 from quetzaldyke.connection.messages import Submit, Window
-from quetzaldyke.connection.service_client import PART_BYTES
+from quetzaldyke.connection.service_client import CHUNK_BYTES
 from quetzaldyke.process.settings import SidecarSettings
 from quetzaldyke.process.sidecar import run_sidecar
 from quetzaldyke.process.sidecar_state import SidecarProcess
@@ -105,13 +105,13 @@
             small = await entry.ask(make_booking('b1'))
             assert small.end is not None
             assert not call.finished
-            waiting = request.answer.waiting_bytes
-            assert waiting < READ_AHEAD_BYTES + PART_BYTES
+            waiting = request.answer.buffered_bytes
+            assert waiting < READ_AHEAD_BYTES + CHUNK_BYTES
             body = b''
             while not call.finished:
                 entry.send(Window(submit.request_id, 8))
                 await anyio.sleep(0.002)
-            async for event in call.source:
+            async for event in call.queue:
                 body += getattr(event, 'raw', b'')
                 body += getattr(event, 'body', b'')
             assert len(json.loads(body)) >= 500_000
