--- a/src/quetzaldyke/connection/__init__.py
+++ b/src/quetzaldyke/connection/__init__.py
@@ -1,1 +1,1 @@
-"""State that lives for one connection."""
+"""Connections between processes, to callers, endpoints and the store."""
--- a/src/quetzaldyke/connection/answers.py
+++ b/src/quetzaldyke/connection/answers.py
@@ -1,9 +1,9 @@
-"""The sending side of one answer: numbering, credit and coalescing.
+"""Sends one answer as numbered chunks with credit-based flow control.
 
-The endpoint is read ahead of the caller up to a limit, so that a slow
-caller neither holds a slot of the endpoint longer than needed nor delays
-another request of the same connection. Text that waits for credit, or that
-arrives within one step of the event loop, goes out as one chunk.
+The endpoint is read ahead of the caller up to a limit, so that a slow caller
+neither occupies a slot of the endpoint longer than needed nor delays other
+requests on the same connection. Text that waits for credit, or that arrives
+within one iteration of the event loop, is coalesced into one chunk.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 from quetzaldyke.connection.messages import Chunk, End, Failed
 from quetzaldyke.connection.peer import PeerSession
 
-# Bytes that may wait for the caller before the endpoint is read no further.
+# Buffered bytes at which reading from the endpoint is paused.
 READ_AHEAD_BYTES: Final = 262_144
 
 
 @dataclass(slots=True)
 class AnswerStream:
-    """One answer on its way to the entry that asked for it."""
+    """An answer that is being sent to the entry that requested it."""
 
     session: PeerSession
     request_id: str
@@ -42,31 +42,31 @@
 
     @property
     def full(self) -> bool:
-        """Tell whether the caller is too far behind to read on."""
+        """Tell whether reading from the endpoint has to pause."""
         return self.buffered_bytes >= READ_AHEAD_BYTES and not self.closed
 
     def add_text(self, text: str, tokens: int) -> None:
-        """Queue text of a model's answer."""
+        """Buffer text of a model's answer and schedule a flush."""
         self.text.append(text)
         self.tokens += tokens
         self.buffered_bytes += len(text)
         self.schedule_flush()
 
     def add_raw(self, raw: bytes) -> None:
-        """Queue bytes of a plain service's answer; each part is a chunk."""
+        """Buffer bytes of a service's answer as one chunk and flush."""
         self.raw.append(raw)
         self.buffered_bytes += len(raw)
         self.flush()
 
     def schedule_flush(self) -> None:
-        """Flush after the present step of the event loop."""
+        """Flush in the next iteration of the event loop."""
         if self.flush_scheduled:
             return
         self.flush_scheduled = True
         asyncio.get_running_loop().call_soon(self.flush)
 
     def flush(self) -> None:
-        """Send what waits as far as the credit allows."""
+        """Send buffered chunks as far as the credit allows, then the end."""
         self.flush_scheduled = False
         if self.closed:
             return
@@ -86,13 +86,13 @@
         self.send_end()
 
     def send_chunk(self, chunk: Chunk) -> None:
-        """Send one numbered chunk."""
+        """Send one chunk and use one credit."""
         self.session.send(chunk)
         self.seq += 1
         self.credit -= 1
 
     def send_end(self) -> None:
-        """Send the closing message once every chunk was sent."""
+        """Send End if the answer is finished and no chunk is buffered."""
         if self.final_answer is None or self.text or self.raw:
             return
         self.closed = True
@@ -110,30 +110,30 @@
         )
 
     def add_credit(self, chunks: int) -> None:
-        """Add credit from the receiver."""
+        """Add credit granted by the receiver and flush."""
         self.credit += max(0, chunks)
         self.flush()
 
     async def wait_for_room(self) -> None:
-        """Wait until the caller has read enough."""
+        """Wait until reading from the endpoint may continue."""
         while self.full:
             self.room = anyio.Event()
             await self.room.wait()
 
     def finish(self, answer: Answer) -> None:
-        """End the answer after what still waits."""
+        """End the answer once all buffered chunks are sent."""
         self.final_answer = answer
         self.flush()
 
     def fail(self, failed: Failed) -> None:
-        """End the answer at once without a result."""
+        """Discard buffered chunks and send the failure; no-op if closed."""
         if self.closed:
             return
         self.close()
         self.session.send(failed)
 
     def close(self) -> None:
-        """Drop what waits; the caller is gone or gets a failure."""
+        """Discard buffered chunks and close the stream without a message."""
         self.closed = True
         self.text.clear()
         self.raw.clear()
--- a/src/quetzaldyke/connection/batch_messages.py
+++ b/src/quetzaldyke/connection/batch_messages.py
@@ -1,4 +1,4 @@
-"""Messages of batch work between entries."""
+"""Messages about batch segments between entries."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 @register_message
 @dataclass(slots=True)
 class SegmentState(Message):
-    """Answer of a segment's owner; `state` is open, done or closed."""
+    """Reply of a segment's owner; `state` is open, done or closed."""
 
     kind: ClassVar[int] = 60
     job_id: str
@@ -20,4 +20,4 @@
     state: str
     finished: int
     failed: int
-    waiting: int  # items that have not started
+    waiting: int  # items that were not started
--- a/src/quetzaldyke/connection/caller_connection.py
+++ b/src/quetzaldyke/connection/caller_connection.py
@@ -1,9 +1,9 @@
-"""A caller's connection and the time limits that the operator sets for it.
+"""HTTP connection of a caller, with the timeouts set by the operator.
 
-Load pattern: callers that open connections and send nothing, or send a
-request so slowly that it holds memory and a descriptor for ever. A request
-that has come whole is never timed out here: its route says how long it may
-take.
+The timeouts guard against callers that open connections and send nothing, or
+send a request so slowly that it holds memory and a file descriptor forever. A
+request that was received completely is never timed out here: its route limits
+how long it may take.
 """
 
 from __future__ import annotations
@@ -23,38 +23,38 @@
 
 
 class CallerConnection(HttpToolsProtocol):
-    """One connection, with the times that its limits need."""
+    """A connection that records the times its timeouts are based on."""
 
     def __init__(self, *args: Any, **keywords: Any) -> None:
-        """Start with no request on its way."""
+        """Create a connection that has received nothing yet."""
         super().__init__(*args, **keywords)
-        # Since when a request's head is on its way; None when none is.
+        # When the head that is being received began; None if there is none.
         self.head_started_s: float | None = None
-        # When something last came, or the last answer was complete.
+        # When data was last received or a response was completed.
         self.last_active_s = self.loop.time()
 
     def data_received(self, data: bytes) -> None:
-        """Note that the caller is there."""
+        """Record the time of the caller's activity."""
         self.last_active_s = self.loop.time()
         super().data_received(data)
 
     def on_message_begin(self) -> None:
-        """The head of a request is on its way."""
+        """Start the header timeout of a request."""
         self.head_started_s = self.loop.time()
         super().on_message_begin()
 
     def on_headers_complete(self) -> None:
-        """The head has come in time."""
+        """Stop the header timeout."""
         self.head_started_s = None
         super().on_headers_complete()
 
     def on_response_complete(self) -> None:
-        """Count idle time from the end of an answer."""
+        """Start the idle timeout at the end of a response."""
         self.last_active_s = self.loop.time()
         super().on_response_complete()
 
     def is_serving(self) -> bool:
-        """Tell whether a request is being read or answered."""
+        """Tell whether a request is being received or answered."""
         return self.cycle is not None and not self.cycle.response_complete
 
     def expired_timeout(
@@ -63,7 +63,7 @@
         idle_timeout_s: float,
         now_s: float,
     ) -> TimeoutKind | None:
-        """Return which limit has passed, if any."""
+        """Return the kind of timeout that has expired, or None."""
         if self.is_serving() and not self.cycle.more_body:
             return None
         if self.head_started_s is not None:
@@ -74,7 +74,7 @@
         return 'body' if self.is_serving() else 'idle'
 
     def close_expired(self, reason: TimeoutKind) -> None:
-        """End the connection; a request that was begun is answered."""
+        """Close the connection; a partial request is answered with 408."""
         if reason != 'idle':
             self.transport.write(REQUEST_TIMEOUT_RESPONSE)
         self.transport.close()
--- a/src/quetzaldyke/connection/calls.py
+++ b/src/quetzaldyke/connection/calls.py
@@ -1,8 +1,8 @@
-"""Requests that share one connection: each has its own ordered stream.
+"""Multiplexes requests over one connection to a sidecar.
 
-Chunks are numbered for each request. Repeats are dropped, a gap fails the
-request, and an answer is whole only when the end mark counts the chunks
-that were seen.
+Each request has its own ordered stream of numbered chunks. Duplicates are
+dropped and a gap fails the request. An answer is complete only if the number
+of chunks in its End message matches the number received.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 )
 from quetzaldyke.connection.peer import PeerSession
 
-# Chunks that a sidecar may send ahead of the caller's reading.
+# Chunks that a sidecar may send before the reader grants it more.
 WINDOW_CHUNKS: Final = 64
 
 CallEvent = Started | Chunk | End | Failed
@@ -33,10 +33,10 @@
 
 @dataclass(slots=True)
 class EventQueue:
-    """Events of one request on their way to its only reader.
+    """Queue of the events of one request, for a single reader.
 
-    anyio's memory stream passes control to the event loop on every receive,
-    which costs a task switch for each token even when events wait.
+    anyio's memory object stream yields to the event loop on every receive,
+    which costs a task switch for each token even if events are queued.
     """
 
     events: deque[CallEvent] = field(default_factory=deque)
@@ -44,17 +44,17 @@
     waiter: asyncio.Future[None] | None = None
 
     def send_nowait(self, event: CallEvent) -> None:
-        """Queue an event."""
+        """Append an event and wake the reader."""
         self.events.append(event)
         self.wake_reader()
 
     def close(self) -> None:
-        """End the queue after the events in it."""
+        """Close the queue; events that are already queued are still read."""
         self.closed = True
         self.wake_reader()
 
     def wake_reader(self) -> None:
-        """Let the reader go on."""
+        """Resume the reader if it is waiting."""
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_result(None)
 
@@ -63,7 +63,7 @@
         return self
 
     async def __anext__(self) -> CallEvent:
-        """Return the next event."""
+        """Return the next event; stops when the queue is closed and empty."""
         while not self.events:
             if self.closed:
                 raise StopAsyncIteration
@@ -91,14 +91,18 @@
     calls: dict[str, Call] = field(default_factory=dict)
 
     def begin(self, submit: Submit) -> Call:
-        """Send a request and return its stream."""
+        """Send a request and return its call."""
         call = Call(submit)
         self.calls[submit.request_id] = call
         self.session.send(submit)
         return call
 
     def deliver(self, message: Message) -> bool:
-        """Hand a message to its request; False for other messages."""
+        """Pass a message to the request it belongs to.
+
+        Messages of unknown or finished requests are dropped. Returns False
+        if the message is not of a kind that belongs to a request.
+        """
         if not isinstance(message, Started | Chunk | End | Failed):
             return False
         call = self.calls.get(message.request_id)
@@ -108,20 +112,23 @@
         return True
 
     def process_event(self, call: Call, event: CallEvent) -> None:
-        """Check the order of an event and queue it for the reader."""
+        """Queue an event for the reader if it is in sequence.
+
+        A duplicate chunk is dropped; a missing chunk fails the request.
+        """
         match event:
             case Started():
                 call.started = True
             case Chunk(seq=seq) if seq < call.next_seq:
                 return
             case Chunk(seq=seq) if seq > call.next_seq:
-                self.finish_call(call, unknown_failure(call, 'chunk missing'))
+                self.finish_call(call, unknown_failure(call, 'missing chunk'))
                 return
             case Chunk():
                 call.next_seq += 1
             case End(seq=seq) if seq != call.next_seq:
                 self.finish_call(
-                    call, unknown_failure(call, 'chunk missing at end')
+                    call, unknown_failure(call, 'missing chunk at the end')
                 )
                 return
             case _:
@@ -130,19 +137,19 @@
         call.queue.send_nowait(event)
 
     def finish_call(self, call: Call, event: CallEvent) -> None:
-        """Queue the last event of a request."""
+        """Queue the last event of a request and remove the request."""
         call.finished = True
         self.calls.pop(call.submit.request_id, None)
         call.queue.send_nowait(event)
         call.queue.close()
 
     def fail_all(self, reason: str) -> None:
-        """Fail every request after the connection was lost."""
+        """Fail all requests because the connection was lost."""
         for call in list(self.calls.values()):
             self.finish_call(call, unknown_failure(call, reason))
 
     def cancel_call(self, call: Call) -> None:
-        """Stop a request whose answer nobody wants any more."""
+        """Cancel a request at the sidecar; does nothing if it has finished."""
         if call.finished:
             return
         call.finished = True
@@ -152,14 +159,14 @@
 
 
 def unknown_failure(call: Call, reason: str) -> Failed:
-    """Return the failure of a request that may have run."""
+    """Return the failure of a request that may or may not have run."""
     return Failed(call.submit.request_id, 'unknown', reason)
 
 
 async def read_call(table: CallTable, call: Call) -> AsyncIterator[CallEvent]:
     """Yield the events of a request and grant the sender more chunks.
 
-    Abandons the request when the reader stops early.
+    Cancels the request if the reader stops before the last event.
     """
     unread = 0
     try:
--- a/src/quetzaldyke/connection/codec.py
+++ b/src/quetzaldyke/connection/codec.py
@@ -1,7 +1,7 @@
-"""Wire form of messages: a msgpack array of the number and the fields.
+"""Converts messages to and from rows: the kind followed by the fields.
 
-Decoding checks number, field count and field types, so that a peer of
-another version gets a clear refusal.
+`frames.py` encodes rows with msgpack. Decoding checks kind, field count and
+field types, so that a message of an incompatible peer is rejected clearly.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def field_classes(annotation: object) -> tuple[type, ...]:
-    """Return the classes that a field of this annotation may have."""
+    """Return the classes accepted for a field with this annotation."""
     origin = typing.get_origin(annotation)
     if origin is types.UnionType or origin is typing.Union:
         return tuple(
@@ -46,7 +46,8 @@
 MESSAGE_TYPES: Final = {
     message_type.kind: message_type for message_type in Message.__subclasses__()
 }
-# Subclasses made by `slots=True` replace the originals; the last one wins.
+# `slots=True` makes dataclass create a second class that replaces the original;
+# both are subclasses, and of two with the same kind the later one is used.
 FIELDS_BY_KIND: Final = {
     kind: message_fields(message_type)
     for kind, message_type in MESSAGE_TYPES.items()
@@ -54,14 +55,14 @@
 
 
 def register_message(message_type: type[MessageT]) -> type[MessageT]:
-    """Add a message that is defined in another module."""
+    """Register a message that is defined in another module."""
     MESSAGE_TYPES[message_type.kind] = message_type
     FIELDS_BY_KIND[message_type.kind] = message_fields(message_type)
     return message_type
 
 
 def to_row(message: Message) -> list[object]:
-    """Return the wire form of a message."""
+    """Return the row of a message."""
     expected_fields = FIELDS_BY_KIND[message.kind]
     return [
         message.kind,
@@ -70,7 +71,7 @@
 
 
 def from_row(row: list[object]) -> Message:
-    """Return the message of a wire row, or raise FrameError.
+    """Return the message of a row; raises FrameError if it is invalid.
 
     >>> from quetzaldyke.connection.messages import Cancel
     >>> from_row(to_row(Cancel('r1')))
--- a/src/quetzaldyke/connection/config_messages.py
+++ b/src/quetzaldyke/connection/config_messages.py
@@ -12,9 +12,9 @@
 @register_message
 @dataclass(slots=True)
 class ConfigRequest(Message):
-    """The sender holds `version` and asks for the receiver's.
+    """The sender has `version` and asks for the receiver's version.
 
-    Version 0 asks for the whole document.
+    Version 0 asks for the full document.
     """
 
     kind: ClassVar[int] = 56
@@ -24,19 +24,19 @@
 @register_message
 @dataclass(slots=True)
 class ConfigDelta(Message):
-    """The patches that lead from one version to another."""
+    """The patches from `base_version` to `version`."""
 
     kind: ClassVar[int] = 57
     base_version: int
     version: int
     patches: list[bytes]  # zlib-compressed JSON, one for each version
-    digest: str  # of the document that they lead to
+    digest: str  # of the document at `version`
 
 
 @register_message
 @dataclass(slots=True)
 class VersionQuery(Message):
-    """Asks an entry which processes have reported a version."""
+    """Asks an entry which processes have reported this version."""
 
     kind: ClassVar[int] = 58
     query_id: int
@@ -47,10 +47,10 @@
 @register_message
 @dataclass(slots=True)
 class VersionReply(Message):
-    """Answer once all connected processes have a version, or timed out.
+    """Reply once all connected processes have the version, or at timeout.
 
-    `reached` joins the 8-byte marks of the processes that have it, so that
-    an answer for 500 processes takes 4 KB.
+    `reached` concatenates the 8-byte marks of the processes that have it, so
+    that a reply for 500 processes takes 4 KB.
     """
 
     kind: ClassVar[int] = 59
--- a/src/quetzaldyke/connection/engine_client.py
+++ b/src/quetzaldyke/connection/engine_client.py
@@ -1,8 +1,8 @@
-"""Client of the model engine on this instance.
+"""HTTP client of the model engine on this instance.
 
 Answers are always streamed, so that the text produced so far is known when
-a stream is preempted or breaks. A stream without its closing mark is
-incomplete and never passed off as an answer.
+a stream is preempted or breaks. A stream without its end marker is incomplete
+and is reported as a failure.
 """
 
 from __future__ import annotations
@@ -46,14 +46,14 @@
 NOT_FOUND: Final = 404
 CANCEL_ATTEMPTS: Final = 3
 CANCEL_RETRY_DELAY_S: Final = 0.02
-# A load copies weights from the rate-limited store and can take minutes.
+# Loading copies weights from the rate-limited store and can take minutes.
 ORDER_TIMEOUT_S: Final = 600.0
 REMAINING_TIMEOUT_S: Final = 0.1
 
 
 @dataclass(slots=True)
 class TextDelta:
-    """Text and tokens that arrived together."""
+    """Text that was received in one read, and its number of tokens."""
 
     text: str = ''
     tokens: int = 0
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True)
 class StreamState:
-    """What the events of one stream have said so far."""
+    """State of one stream as told by the events received so far."""
 
     finish_reason: str = ''
     prompt_tokens: int = 0
@@ -71,20 +71,23 @@
 
 
 def utf8_decoder() -> codecs.IncrementalDecoder:
-    """Return a decoder that keeps the start of a cut character."""
+    """Return a UTF-8 decoder that buffers incomplete characters.
+
+    Invalid bytes are replaced.
+    """
     return codecs.getincrementaldecoder('utf-8')('replace')
 
 
 @dataclass(slots=True)
 class EventReader:
-    """Server-sent events out of parts of a body."""
+    """Incremental parser of server-sent events."""
 
     utf8: codecs.IncrementalDecoder = field(default_factory=utf8_decoder)
     lines: SSELineDecoder = field(default_factory=SSELineDecoder)
     events: SSEDecoder = field(default_factory=SSEDecoder)
 
     def feed(self, raw: bytes) -> Iterator[str]:
-        """Yield the data of the events that are complete now."""
+        """Add bytes and yield the data of the events completed by them."""
         for line in self.lines.decode(self.utf8.decode(raw)):
             event = self.events.decode(line)
             if event is not None:
@@ -93,7 +96,7 @@
 
 @dataclass(slots=True)
 class EngineClient:
-    """Connections to one engine."""
+    """Client of one engine."""
 
     connections: ConnectionPool
 
@@ -104,7 +107,10 @@
         body: bytes = b'',
         read_s: float = CONTROL_TIMEOUT_S,
     ) -> Result[tuple[int, object], EndpointFailure]:
-        """Make a control call and return its status and JSON content."""
+        """Make a control call and return its status and JSON content.
+
+        The content is None if it is not JSON; fails if the transport does.
+        """
         try:
             async with self.connections.stream(
                 method,
@@ -119,7 +125,7 @@
         return Ok((response.status, parse_json(content)))
 
     async def healthy(self) -> bool:
-        """Tell whether the engine answers its health check."""
+        """Tell whether the health check of the engine succeeds."""
         outcome = await self.call('GET', '/health')
         return outcome.is_ok() and outcome.unwrap()[0] < FIRST_REDIRECT_STATUS
 
@@ -129,10 +135,10 @@
         return outcome.map(lambda reply: string_list(reply[1], 'running'))
 
     async def cancel(self, request_id: str, known_running: bool = True) -> None:
-        """Stop a stream.
+        """Cancel a stream; a failure is ignored.
 
-        A cancel can overtake the start of a stream that has not been known
-        to run; it is repeated when the engine does not know the stream yet.
+        If the stream is not `known_running`, the cancel can arrive before its
+        start. It is then retried while the engine doesn't know the stream.
         """
         path = f'/v1/requests/{request_id}/cancel'
         for _ in range(1 if known_running else CANCEL_ATTEMPTS):
@@ -147,8 +153,8 @@
     ) -> Result[int, EndpointFailure]:
         """Cancel every stream that is not in `own_ids`; return their number.
 
-        Nobody could prove which part of an orphan's text was delivered, so
-        orphans are never adopted.
+        Orphans are not adopted, because there is no proof of which part of
+        their text was delivered.
         """
         listed = await self.running_ids()
         if isinstance(listed, Err):
@@ -162,7 +168,7 @@
         self,
         after: int,
     ) -> Result[list[dict[str, object]], EndpointFailure]:
-        """Return the cache events after a number."""
+        """Return the cache events with a number above `after`."""
         outcome = await self.call('GET', f'/cache_events?after={after}')
         return outcome.map(lambda reply: object_list(reply[1], 'events'))
 
@@ -174,7 +180,11 @@
     async def execute_order(
         self, order: Order
     ) -> Result[None, EndpointFailure]:
-        """Hand an order to the engine and wait until it is carried out."""
+        """Send an order to the engine and wait until it is executed.
+
+        The failure is `not_run` if the call was not sent or the fencing token
+        was stale, otherwise `unknown`.
+        """
         body = orjson.dumps(
             {
                 'action': order.action,
@@ -190,7 +200,11 @@
             return outcome
         status, _ = outcome.ok_value
         if status == CONFLICT:
-            return Err(EndpointFailure('not_run', 'engine: stale token'))
+            return Err(
+                EndpointFailure(
+                    'not_run', 'engine refused a stale fencing token'
+                )
+            )
         if status >= FIRST_REDIRECT_STATUS:
             return Err(EndpointFailure('unknown', f'engine status {status}'))
         return Ok(None)
@@ -200,7 +214,11 @@
         submit: Submit,
         on_delta: Callable[[TextDelta], Awaitable[None]],
     ) -> Result[Answer, EndpointFailure]:
-        """Run one request and hand on its text as it arrives."""
+        """Run one request and pass its text to `on_delta` as it arrives.
+
+        Returns the answer without that text. A failure tells whether the
+        request may have run.
+        """
         try:
             async with self.connections.stream(
                 submit.method,
@@ -216,7 +234,10 @@
 
 
 def stream_body(submit: Submit) -> bytes:
-    """Return the request's body as the engine gets it."""
+    """Return the body with the engine's stream and resume fields set.
+
+    A body that is not a JSON object is returned unchanged.
+    """
     content = parse_json(submit.body)
     if not isinstance(content, dict):
         return submit.body
@@ -230,14 +251,15 @@
 async def read_error_response(
     response: httpcore.Response,
 ) -> Result[Answer, EndpointFailure]:
-    """Return the outcome of a response without a stream.
+    """Return the outcome of a response with an error status.
 
-    The protocol's 429 says that the engine did not admit the request, and
-    409 that another stream of this id runs.
+    429 means that the engine did not admit the request, and 409 that another
+    stream with this id is running. A status from 500 leaves open whether the
+    request ran; any other one is returned as the answer.
     """
     body = await read_body(response, MAX_ERROR_BYTES)
     if response.status == TOO_MANY_REQUESTS:
-        return Err(EndpointFailure('not_run', 'engine is full'))
+        return Err(EndpointFailure('not_run', 'engine is at capacity'))
     if response.status == CONFLICT:
         return Err(EndpointFailure('not_run', 'request id is in use'))
     if response.status >= FIRST_SERVER_ERROR_STATUS:
@@ -250,7 +272,10 @@
     response: httpcore.Response,
     on_delta: Callable[[TextDelta], Awaitable[None]],
 ) -> Result[Answer, EndpointFailure]:
-    """Read a stream to its closing mark."""
+    """Read a stream up to its end marker and return the final answer.
+
+    Fails if the engine reports an error or the end marker is missing.
+    """
     state = StreamState()
     reader = EventReader()
     stream = response.aiter_stream()
@@ -265,7 +290,7 @@
     if state.error:
         return Err(EndpointFailure('unknown', state.error))
     if not state.complete:
-        reason = 'stream ended without its closing mark'
+        reason = 'stream ended without its end marker'
         return Err(EndpointFailure('unknown', reason, broken=True))
     await read_remaining(stream)
     return Ok(
@@ -280,14 +305,14 @@
 
 
 async def read_remaining(stream: AsyncIterator[bytes]) -> None:
-    """Read what follows the closing mark, so that the connection is reused."""
+    """Read the stream to its end, so that the connection can be reused."""
     with anyio.move_on_after(REMAINING_TIMEOUT_S):
         async for _ in stream:
             continue
 
 
 def apply_event(text: str, delta: TextDelta, state: StreamState) -> None:
-    """Add one event of the stream."""
+    """Add the data of one event to the delta and the state."""
     if text == END_MARKER:
         state.complete = True
         return
@@ -307,14 +332,14 @@
 
 
 def update_usage(usage: object, state: StreamState) -> None:
-    """Keep the token counts of an event that has them."""
+    """Set the token counts if the event has a usage object."""
     if isinstance(usage, dict):
         state.prompt_tokens = int_field(usage, 'prompt_tokens')
         state.completion_tokens = int_field(usage, 'completion_tokens')
 
 
 def choice_text(choice: dict[str, Any]) -> str:
-    """Return the added text of a chat or a plain completion."""
+    """Return the new text of a chat completion or a text completion."""
     delta = choice.get('delta')
     if delta is not None:
         return delta.get('content') or ''
@@ -322,7 +347,7 @@
 
 
 def parse_json(raw: bytes | str) -> object:
-    """Return JSON content, or None for anything else."""
+    """Return the parsed content, or None if it is not valid JSON."""
     try:
         return orjson.loads(raw)
     except orjson.JSONDecodeError:
@@ -330,23 +355,23 @@
 
 
 def as_object(content: object) -> dict[str, object]:
-    """Return JSON content as an object; empty for anything else."""
+    """Return content if it is a JSON object, otherwise an empty one."""
     return content if isinstance(content, dict) else {}
 
 
 def int_field(content: object, name: str) -> int:
-    """Return an integer field of an object; 0 when there is none."""
+    """Return an integer field of an object; 0 if it has none."""
     found = as_object(content).get(name)
     return found if isinstance(found, int) else 0
 
 
 def string_list(content: object, name: str) -> list[str]:
-    """Return a list of strings from a field of an object."""
+    """Return a list field of an object as strings; empty if missing."""
     found = as_object(content).get(name)
     return [str(one) for one in found] if isinstance(found, list) else []
 
 
 def object_list(content: object, name: str) -> list[dict[str, object]]:
-    """Return a list of objects from a field of an object."""
+    """Return a list field of an object as objects; empty if missing."""
     found = as_object(content).get(name)
     return [as_object(one) for one in found] if isinstance(found, list) else []
--- a/src/quetzaldyke/connection/frames.py
+++ b/src/quetzaldyke/connection/frames.py
@@ -1,8 +1,8 @@
-"""Length-delimited msgpack frames on a byte stream.
+"""Reads and writes length-prefixed msgpack frames on a byte stream.
 
-Frames are gathered in a buffer and written together: one frame a write costs
-35 to 80 us of processor time on both ends, eight frames a write about 5 us
-each.
+Frames are buffered and written together: with one frame per write, a frame
+costs 35 to 80 us of CPU time, both ends together; with eight frames per write,
+it costs about 5 us.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 
 
 class FrameError(Exception):
-    """The peer sent a frame that is too long or not msgpack."""
+    """A frame is too long or is not a valid message."""
 
 
 def encode_frame(row: list[object]) -> bytes:
-    """Return one frame.
+    """Return the frame of a row; raises FrameError if it is too long.
 
     >>> encode_frame([1])
     b'\\x00\\x00\\x00\\x02\\x91\\x01'
@@ -45,7 +45,10 @@
     buffer: bytearray = field(default_factory=bytearray)
 
     async def read(self) -> list[object]:
-        """Return the next frame's array; raises EndOfStream at the end."""
+        """Return the row of the next frame.
+
+        Raises FrameError for an invalid frame, EndOfStream at the end.
+        """
         header = await self.read_exactly(HEADER.size)
         (length,) = HEADER.unpack(header)
         if length > self.max_bytes:
@@ -53,7 +56,10 @@
         return decode_row(await self.read_exactly(length))
 
     def buffered(self) -> list[object] | None:
-        """Return the next frame's array if it has arrived already."""
+        """Return the row of the next frame if it is completely buffered.
+
+        Returns None for a frame over the limit; `read` then raises.
+        """
         if len(self.buffer) < HEADER.size:
             return None
         (length,) = HEADER.unpack_from(self.buffer)
@@ -65,7 +71,7 @@
         return decode_row(body)
 
     async def read_exactly(self, length: int) -> bytes:
-        """Return exactly `length` bytes."""
+        """Return exactly `length` bytes; raises EndOfStream before that."""
         while len(self.buffer) < length:
             self.buffer += await self.stream.receive(READ_BYTES)
         taken = bytes(self.buffer[:length])
@@ -74,34 +80,34 @@
 
 
 def decode_row(body: bytes) -> list[object]:
-    """Decode a frame's body."""
+    """Return the row in a frame's body; raises FrameError for any other."""
     try:
         row = msgpack.unpackb(body)
     except Exception as exc:
-        raise FrameError('frame is not msgpack') from exc
+        raise FrameError('frame is not valid msgpack') from exc
     if not isinstance(row, list) or not row:
-        raise FrameError('frame is not an array')
+        raise FrameError('frame is not a non-empty array')
     return row
 
 
 @dataclass(slots=True)
 class WriteBuffer:
-    """Bytes that wait for the next write on a stream."""
+    """Buffer of the frames that are sent with the next write."""
 
     pending: bytearray = field(default_factory=bytearray)
     wakeup: anyio.Event = field(default_factory=anyio.Event)
 
     def put(self, frame: bytes) -> None:
-        """Queue a frame for the next write."""
+        """Append a frame."""
         self.pending += frame
         self.wakeup.set()
 
     async def wait(self) -> None:
-        """Wait until something is queued."""
+        """Wait until a frame is buffered."""
         await self.wakeup.wait()
 
     def drain(self) -> bytes:
-        """Return and forget the queued bytes."""
+        """Return the buffered bytes and clear the buffer."""
         taken = bytes(self.pending)
         self.pending.clear()
         self.wakeup = anyio.Event()
--- a/src/quetzaldyke/connection/http_client.py
+++ b/src/quetzaldyke/connection/http_client.py
@@ -1,9 +1,9 @@
-"""HTTP connections to one address, kept open between requests.
+"""HTTP client with a pool of persistent connections to one address.
 
-httpcore's own pool looks at every connection and every waiting request at
-each step: 64 concurrent callers over 32 connections got 127 calls/s on
-loopback, and about 1,000 calls/s with this list, which only touches the
-connection that it hands out.
+httpcore's pool iterates over all connections and all queued requests at every
+step: 64 concurrent callers over 32 connections reached 127 calls/s on
+loopback. With this list, which only touches the connection that it returns,
+they reached about 1,000 calls/s.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 JSON_HEADERS: Final[dict[bytes | str, bytes | str]] = {
     'Content-Type': 'application/json',
 }
-# No request was sent: neither a connection nor a place in line.
+# The request was not sent: no connection could be opened, or none was free.
 NOT_SENT_ERRORS: Final = (
     httpcore.ConnectError,
     httpcore.ConnectTimeout,
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class HttpClient:
-    """Connections to one address; more requests wait in line."""
+    """Client of one address; requests over the limit are queued."""
 
     address: str
     max_connections: int
@@ -55,7 +55,7 @@
         content: bytes,
         timeout_s: float,
     ) -> httpcore.Response:
-        """Return the whole answer.
+        """Send a request and return the response with its content.
 
         Raises one of `NOT_SENT_ERRORS` or `TRANSPORT_ERRORS`.
         """
@@ -78,7 +78,7 @@
         content: bytes,
         connect_timeout_s: float,
     ) -> AsyncIterator[httpcore.Response]:
-        """Open an answer that may stay silent for long."""
+        """Open a streamed response without a read timeout."""
         timeouts: dict[str, Any] = {'connect': connect_timeout_s, 'read': None}
         async with (
             self.connection(connect_timeout_s) as connection,
@@ -97,7 +97,10 @@
         self,
         timeout_s: float,
     ) -> AsyncIterator[httpcore.AsyncHTTPConnection]:
-        """Hold a connection; one that is not reusable is closed after."""
+        """Provide a connection within the limit of concurrent connections.
+
+        Raises PoolTimeout if none becomes free in half of `timeout_s`.
+        """
         connection_slots = await self.acquire_connection_slot(timeout_s)
         try:
             async with self.exclusive_connection() as connection:
@@ -109,7 +112,10 @@
     async def exclusive_connection(
         self,
     ) -> AsyncIterator[httpcore.AsyncHTTPConnection]:
-        """Hold a connection that no other request uses."""
+        """Provide a connection that no other request uses.
+
+        It is kept for reuse if it is idle afterwards, otherwise closed.
+        """
         connection = await self.acquire_connection()
         try:
             yield connection
@@ -122,17 +128,18 @@
     async def acquire_connection_slot(
         self, timeout_s: float
     ) -> anyio.Semaphore:
-        """Wait in line for a connection."""
+        """Wait until a connection may be used; raises PoolTimeout."""
         if self.connection_slots is None:
             self.connection_slots = anyio.Semaphore(self.max_connections)
-        # Shorter than the caller's limit, which counts as sent.
+        # Shorter than the caller's timeout, after which a request is assumed to
+        # have been sent.
         with anyio.move_on_after(timeout_s / 2):
             await self.connection_slots.acquire()
             return self.connection_slots
         raise httpcore.PoolTimeout
 
     async def acquire_connection(self) -> httpcore.AsyncHTTPConnection:
-        """Return an open connection, or a new one that is not yet open."""
+        """Return an idle connection, or a new one that is not yet open."""
         while self.idle:
             connection = self.idle.pop()
             if not connection.has_expired() and not connection.is_closed():
@@ -143,12 +150,12 @@
         return httpcore.AsyncHTTPConnection(origin)
 
     async def aclose(self) -> None:
-        """Close the idle connections."""
+        """Close all idle connections."""
         while self.idle:
             await close(self.idle.pop())
 
 
 async def close(connection: httpcore.AsyncHTTPConnection) -> None:
-    """Close a connection, also when the caller is cancelled."""
+    """Close a connection even if the calling task is cancelled."""
     with anyio.CancelScope(shield=True):
         await connection.aclose()
--- a/src/quetzaldyke/connection/http_endpoint.py
+++ b/src/quetzaldyke/connection/http_endpoint.py
@@ -1,7 +1,8 @@
-"""HTTP to the endpoint on this instance, shared by both kinds of client.
+"""HTTP connections to the endpoint on this instance.
 
-A refused connection is the only failure that proves that the endpoint never
-saw the request; every other failure leaves that open.
+Both the engine client and the service client use them. Only a failure to
+connect proves that the endpoint did not receive a request; after any other
+failure it may have.
 """
 
 from __future__ import annotations
@@ -23,7 +24,8 @@
 FIRST_REDIRECT_STATUS: Final = 300
 FIRST_SERVER_ERROR_STATUS: Final = 500
 
-# Headers that belong to one connection and are never passed on.
+# Headers that apply to a single connection and are not forwarded; also Host and
+# Content-Length, which are set anew for each hop.
 HOP_BY_HOP_HEADERS: Final = frozenset(
     (
         'connection',
@@ -58,16 +60,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointFailure:
-    """The endpoint gave no whole answer."""
+    """The endpoint gave no complete answer."""
 
     ran: Ran
     reason: str
-    broken: bool = False  # the connection broke: the endpoint may have died
+    broken: bool = False  # connection failed: the endpoint may have crashed
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """How a whole answer ended."""
+    """A complete answer, without the text or chunks sent before its end."""
 
     status: int
     headers: dict[str, str]
@@ -78,7 +80,7 @@
 
 
 def make_pool() -> httpcore.AsyncConnectionPool:
-    """Return a pool for commands that call other processes' HTTP."""
+    """Return a pool for commands that call the HTTP API of a process."""
     return httpcore.AsyncConnectionPool(keepalive_expiry=KEEPALIVE_EXPIRY_S)
 
 
@@ -86,15 +88,15 @@
 class ConnectionPool:
     """Connections to one endpoint, each used by one request at a time.
 
-    The library's own pool looks at every connection for every other one at
-    each start and end of a request, a third of the cost of a short request.
+    httpcore's pool compares all connections with each other when a request
+    starts and ends, which is a third of the cost of a short request.
     """
 
     address: str
     idle: list[httpcore.AsyncHTTPConnection] = field(default_factory=list)
 
     async def acquire(self) -> httpcore.AsyncHTTPConnection:
-        """Return an idle connection that is still open, or a new one."""
+        """Return an idle connection that has not expired, or a new one."""
         while self.idle:
             connection = self.idle.pop()
             if not connection.has_expired():
@@ -116,7 +118,10 @@
         body: bytes = b'',
         read_s: float | None = None,
     ) -> AsyncIterator[httpcore.Response]:
-        """Send a request; `read_s` limits the wait for each read."""
+        """Send a request and provide the response.
+
+        `read_s` is the timeout of each read; None means no timeout.
+        """
         connection = await self.acquire()
         try:
             async with connection.stream(
@@ -131,7 +136,7 @@
             await self.release(connection)
 
     async def release(self, connection: httpcore.AsyncHTTPConnection) -> None:
-        """Keep a connection whose request is complete; close any other."""
+        """Keep an idle connection for reuse; close any other."""
         if connection.is_idle() and len(self.idle) < MAX_IDLE_CONNECTIONS:
             self.idle.append(connection)
             return
@@ -139,24 +144,26 @@
             await connection.aclose()
 
     async def aclose(self) -> None:
-        """Close the idle connections."""
+        """Close all idle connections."""
         while self.idle:
             await self.idle.pop().aclose()
 
 
 def classify_error(exc: Exception) -> EndpointFailure:
-    """Return what a fault of the connection proves."""
+    """Return whether a request may have run after a transport error."""
     name = type(exc).__name__
     if isinstance(exc, httpcore.LocalProtocolError):
         return EndpointFailure('not_run', 'malformed request')
     if isinstance(exc, NOT_SENT_ERRORS):
-        reason = f'endpoint not reached: {name}'
+        reason = f'cannot connect to endpoint: {name}'
         return EndpointFailure('not_run', reason, broken=True)
-    return EndpointFailure('unknown', f'endpoint failed: {name}', broken=True)
+    return EndpointFailure(
+        'unknown', f'connection to endpoint failed: {name}', broken=True
+    )
 
 
 def end_to_end_headers(headers: Mapping[str, str]) -> list[tuple[str, str]]:
-    """Return the headers that go on to the next hop.
+    """Return the headers that are forwarded to the next hop.
 
     >>> end_to_end_headers({'Host': 'a', 'Accept': 'b'})
     [('Accept', 'b')]
@@ -177,7 +184,7 @@
 
 
 def response_headers(response: httpcore.Response) -> dict[str, str]:
-    """Return a response's headers without those of the connection."""
+    """Return the end-to-end headers of a response, in lower case."""
     named = {
         name.decode('latin-1').lower(): content.decode('latin-1')
         for name, content in response.headers
@@ -186,7 +193,7 @@
 
 
 def timeout_extension(read_s: float | None) -> dict[str, object]:
-    """Return the timeouts of a request; None waits without a limit."""
+    """Return the httpcore timeout extension with this read timeout."""
     return {
         'timeout': {
             'connect': CONTROL_TIMEOUT_S,
@@ -198,7 +205,7 @@
 
 
 async def read_body(response: httpcore.Response, limit: int) -> bytes:
-    """Return a body, cut at `limit` bytes."""
+    """Return the body of a response, truncated to `limit` bytes."""
     body = bytearray()
     async for part in response.aiter_stream():
         body += part
--- a/src/quetzaldyke/connection/http_server.py
+++ b/src/quetzaldyke/connection/http_server.py
@@ -1,8 +1,8 @@
-"""Serves an ASGI app inside the running event loop.
+"""Serves an ASGI app with uvicorn in the running event loop.
 
-uvicorn runs as a task of the caller: it installs no signal handlers, the
-bound port is reported when connections are accepted, and an event starts
-the graceful stop. Cancelling the task breaks all connections at once.
+uvicorn runs in the caller's task and installs no signal handlers. The bound
+port is reported once connections are accepted, and an event starts the
+graceful shutdown. Cancelling the task aborts all connections.
 """
 
 from __future__ import annotations
@@ -33,23 +33,24 @@
 Send = Callable[[Scope], Awaitable[None]]
 App = Callable[[Scope, Receive, Send], Awaitable[None]]
 
-# Longer than the idle time of usual clients, so that a request rarely meets
-# a connection that the server is just closing.
+# Longer than the idle timeout of common clients, so that a request is rarely
+# sent on a connection that the server is closing.
 KEEP_ALIVE_S: Final = 75
-# An accepted connection gets its transport and protocol within these.
+# Iterations of the event loop within which an accepted connection gets its
+# transport and protocol.
 ACCEPT_ITERATIONS: Final = 4
 
 
 @dataclass(frozen=True, slots=True)
 class HttpOptions:
-    """How one app is served."""
+    """Options for serving one app."""
 
     address: str
-    # Longest wait for running requests at a graceful stop.
+    # Maximum wait for running requests during a graceful shutdown.
     drain_s: int = 60
     # Idle time after which a connection is closed.
     keep_alive_s: int = KEEP_ALIVE_S
-    # Class of the connections, or the name that uvicorn knows it by.
+    # Protocol class of the connections, or its name in uvicorn.
     protocol: type[asyncio.Protocol] | Literal['httptools'] = 'httptools'
 
 
@@ -57,7 +58,7 @@
     """uvicorn server without signal handlers."""
 
     def __init__(self, config: uvicorn.Config) -> None:
-        """Add the event that is set when connections are accepted."""
+        """Create an event that is set when connections are accepted."""
         super().__init__(config)
         self.listening = anyio.Event()
 
@@ -65,7 +66,7 @@
         self,
         sockets: list[socket.socket] | None = None,
     ) -> None:
-        """Listen and set the event."""
+        """Start listening and set the event."""
         await super().startup(sockets)
         self.listening.set()
 
@@ -73,13 +74,13 @@
         self,
         sockets: list[socket.socket] | None = None,
     ) -> None:
-        """Give accepted connections their handlers, then stop."""
+        """Stop accepting connections, then shut down gracefully."""
         await stop_accepting(self.servers)
         await super().shutdown(sockets)
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Leave the process's signal handlers alone."""
+        """Leave the signal handlers of the process unchanged."""
         yield
 
 
@@ -92,7 +93,7 @@
     aborted: bool = False
 
     async def abort(self) -> None:
-        """Close the listener, break all connections, end all requests."""
+        """Close the listeners, abort connections and cancel requests."""
         listeners = getattr(self.server, 'servers', ())
         self.abort_connections()
         await stop_accepting(listeners)
@@ -105,7 +106,10 @@
         header_timeout_s: float,
         idle_timeout_s: float,
     ) -> Counter[str]:
-        """End the connections that are overdue; return how many, by limit."""
+        """Close connections whose timeout has expired; return their counts.
+
+        The counts are by kind of timeout: head, body or idle.
+        """
         now_s = asyncio.get_running_loop().time()
         ended: Counter[str] = Counter()
         for connection in list(self.server.server_state.connections):
@@ -120,7 +124,7 @@
         return ended
 
     def abort_connections(self) -> None:
-        """Break all connections and end their requests."""
+        """Abort all connections and cancel their requests."""
         self.aborted = True
         for connection in list(self.server.server_state.connections):
             abort_transport(connection)
@@ -128,18 +132,18 @@
             task.cancel()
 
     def abort_connection(self, client: tuple[str, int]) -> None:
-        """Break the connection of one client (`scope['client']`)."""
+        """Abort the connection of one client (`scope['client']`)."""
         for connection in list(self.server.server_state.connections):
             if getattr(connection, 'client', None) == client:
                 abort_transport(connection)
 
 
 async def stop_accepting(listeners: Iterable[asyncio.Server]) -> None:
-    """Leave new connections in the listeners' queues.
+    """Stop accepting; new connections stay in the backlog.
 
-    asyncio forgets a connection, without closing it, whose accept is
-    followed by the listener's close; its client then waits for ever.
-    Accepting therefore ends some turns of the loop before the close.
+    If a listener is closed right after an accept, asyncio drops the accepted
+    connection without closing it, and its client waits forever. Accepting
+    therefore stops some iterations of the event loop before the close.
     """
     loop = asyncio.get_running_loop()
     for listener in listeners:
@@ -151,7 +155,7 @@
 
 
 def abort_transport(connection: Any) -> None:
-    """Break a connection without sending what is buffered."""
+    """Abort a connection without sending buffered data."""
     if connection.transport is not None:
         connection.transport.abort()
 
@@ -161,13 +165,13 @@
     options: HttpOptions,
     bound: socket.socket,
 ) -> HttpServer:
-    """Return a server for an app that is not yet started."""
+    """Return a server for an app; the server is not yet running."""
 
     cancelled = anyio.get_cancelled_exc_class()
 
     async def wrapped_app(scope: Scope, receive: Receive, send: Send) -> None:
         if http.aborted:
-            # Accepted by the listener just before it was closed.
+            # The connection was accepted just before the listener was closed.
             http.abort_connection(tuple(scope['client']))
             await anyio.sleep(0)
             return
@@ -208,8 +212,9 @@
 ) -> None:
     """Serve until `stopping` is set, then finish running requests.
 
-    Reports the server once it accepts connections. A socket that is given
-    is used in place of a new one at the address.
+    Reports the server as the task status once it accepts connections. If a
+    bound socket is given, it is used instead of binding the address; otherwise
+    a failure to bind raises OSError.
     """
     bound = bind(options.address) if bound is None else bound
     http = start_server(app, options, bound)
@@ -228,12 +233,12 @@
     http: HttpServer,
     task_status: TaskStatus[HttpServer],
 ) -> None:
-    """Report the server as soon as it listens."""
+    """Report the server as the task status once it is listening."""
     await http.server.listening.wait()
     task_status.started(http)
 
 
 async def stop_when_set(http: HttpServer, stopping: anyio.Event) -> None:
-    """Start the graceful stop when the event is set."""
+    """Start the graceful shutdown when the event is set."""
     await stopping.wait()
     http.server.should_exit = True
--- a/src/quetzaldyke/connection/kv_http.py
+++ b/src/quetzaldyke/connection/kv_http.py
@@ -1,6 +1,6 @@
-"""Key-value store over the JSON gateway of etcd v3.
+"""Key-value store client for the JSON gateway of etcd v3.
 
-Errors say whether a write can have been applied. A call that never got a
+Errors tell whether a write may have been applied. A call that got no
 connection is `unavailable`; a timeout or a broken connection after the
 request was sent is `unknown`.
 """
@@ -30,7 +30,7 @@
 )
 
 CALL_TIMEOUT_S: Final = 2.0
-# More concurrent calls wait in line for a connection.
+# Further concurrent calls are queued until a connection is free.
 MAX_CONNECTIONS: Final = 16
 MAX_WATCHES: Final = 16
 OK_STATUS: Final = 200
@@ -41,7 +41,7 @@
 
 
 def encode_base64(raw: bytes) -> str:
-    """Return bytes as the gateway expects them.
+    """Return bytes in the base64 form that the gateway expects.
 
     >>> encode_base64(b'claims/1')
     'Y2xhaW1zLzE='
@@ -50,12 +50,12 @@
 
 
 def decode_field(body: Body, name: str) -> bytes:
-    """Return a bytes field; the gateway leaves out empty ones."""
+    """Return a decoded bytes field; the gateway omits empty ones."""
     return base64.b64decode(body.get(name, ''))
 
 
 def prefix_end(prefix: str) -> bytes:
-    """Return the end of the range of keys with a prefix.
+    """Return the exclusive end of the range of keys with a prefix.
 
     >>> prefix_end('jobs/')
     b'jobs0'
@@ -72,7 +72,7 @@
 
 
 def parse_record(kv: Body) -> Record:
-    """Return a key of an answer."""
+    """Return the record of a key-value pair in a response."""
     return Record(
         decode_field(kv, 'key').decode(),
         decode_field(kv, 'value'),
@@ -82,11 +82,11 @@
 
 @dataclass(slots=True)
 class HttpKeyValueStore:
-    """`KeyValueStore` over HTTP; close it by `async with`."""
+    """`KeyValueStore` over HTTP; an async context manager."""
 
     address: str
     calls: HttpClient
-    # Watches hold their connections, so they don't share those of the calls.
+    # A watch occupies its connection, so watches have a client of their own.
     watches: HttpClient
     timeout_s: float = CALL_TIMEOUT_S
 
@@ -96,7 +96,7 @@
         address: str,
         timeout_s: float = CALL_TIMEOUT_S,
     ) -> HttpKeyValueStore:
-        """Return a store that connects at its first call."""
+        """Return a store that connects on its first call."""
         return cls(
             address,
             HttpClient(address, MAX_CONNECTIONS),
@@ -123,7 +123,7 @@
         await self.watches.aclose()
 
     async def get(self, key: str) -> Result[Record | None, KvError]:
-        """Read one key."""
+        """Return the record of a key, or None if it does not exist."""
         response_body = await self.call(
             'kv/range', {'key': encode_base64(key.encode())}
         )
@@ -133,7 +133,7 @@
         return Ok(parse_record(kvs[0]) if kvs else None)
 
     async def list_prefix(self, prefix: str) -> Result[list[Record], KvError]:
-        """Read all keys that start with the prefix."""
+        """Return the records of all keys with the prefix."""
         response_body = await self.call('kv/range', range_body(prefix))
         if isinstance(response_body, Err):
             return response_body
@@ -147,7 +147,11 @@
         revision: int,
         lease_id: int = 0,
     ) -> Result[int, KvError]:
-        """Write if the key's revision is as given; return the new one."""
+        """Write a key if it has the given revision; return the new one.
+
+        Revision 0 means that the key must not exist. Fails with `conflict`
+        for another revision and `too_large` for a value over the limit.
+        """
         if len(value) > MAX_VALUE_BYTES:
             return Err(KvError('too_large', f'{key}: {len(value)} bytes'))
         put: Body = {
@@ -163,7 +167,7 @@
         key: str,
         revision: int,
     ) -> Result[None, KvError]:
-        """Delete if the key's revision is as given."""
+        """Delete a key if it has the given revision, else `conflict`."""
         delete = {'request_delete_range': {'key': encode_base64(key.encode())}}
         response_body = await self.transact(key, revision, delete)
         return response_body.map(lambda _revision: None)
@@ -174,7 +178,10 @@
         revision: int,
         operation: Body,
     ) -> Result[int, KvError]:
-        """Run one operation if the key's revision is as given."""
+        """Run one operation if the key has the given revision.
+
+        Returns the revision of the store, or fails with `conflict`.
+        """
         compare = {
             'key': encode_base64(key.encode()),
             'target': 'MOD',
@@ -197,7 +204,7 @@
         return response_body.map(lambda body: int(body['ID']))
 
     async def keep_alive(self, lease_id: int) -> Result[bool, KvError]:
-        """Extend a lease; False when it has already lapsed."""
+        """Renew a lease; returns False if it has expired."""
         response_body = await self.call(
             'lease/keepalive', {'ID': str(lease_id)}
         )
@@ -206,7 +213,7 @@
         )
 
     async def revoke(self, lease_id: int) -> Result[None, KvError]:
-        """End a lease and delete its keys; ended leases are no error."""
+        """Revoke a lease, which deletes its keys; it may have expired."""
         response_body = await self.call('lease/revoke', {'ID': str(lease_id)})
         if (
             isinstance(response_body, Err)
@@ -222,8 +229,8 @@
     ) -> AsyncIterator[Change]:
         """Yield changes after a revision until the connection breaks.
 
-        Also ends when the service has discarded changes that were asked
-        for; the caller reads again and watches from there.
+        Also ends if requested changes were compacted. The caller then reads
+        the keys again and starts a new watch from that revision.
         """
         create = {
             **range_body(prefix),
@@ -247,7 +254,7 @@
             return
 
     async def call(self, path: str, body: Body) -> Result[Body, KvError]:
-        """Post one call; sorts failures by what can have been applied."""
+        """Post a call; the error tells whether it may have been applied."""
         try:
             response = await self.calls.request(
                 'POST',
@@ -263,7 +270,7 @@
 
 
 def range_body(prefix: str) -> Body:
-    """Return the fields that select all keys with a prefix."""
+    """Return the request fields that select all keys with a prefix."""
     start = prefix.encode() or b'\0'
     return {
         'key': encode_base64(start),
@@ -272,15 +279,15 @@
 
 
 def parse_change(event: Body) -> Change:
-    """Return a change of a watch."""
+    """Return the change of a watch event."""
     return Change(parse_record(event['kv']), event.get('type') == 'DELETE')
 
 
 def parse_response(response: httpcore.Response) -> Result[Body, KvError]:
-    """Return the body of an answer, or the error that it tells.
+    """Return the body of a response, or the error that its status means.
 
-    Only errors that the service gives before it applies anything are
-    certain; all other statuses can hide an applied write.
+    Only statuses that the service returns before it applies anything prove
+    that nothing was written; any other one is `unknown`.
     """
     if response.status == OK_STATUS:
         try:
@@ -298,7 +305,7 @@
 
 
 async def iter_lines(response: httpcore.Response) -> AsyncIterator[str]:
-    """Yield the lines of a streamed answer."""
+    """Yield the non-empty lines of a streamed response."""
     pending = b''
     async for chunk in response.aiter_stream():
         *complete, pending = (pending + chunk).split(b'\n')
--- a/src/quetzaldyke/connection/links.py
+++ b/src/quetzaldyke/connection/links.py
@@ -1,7 +1,7 @@
-"""Runs one peer connection: handshake, reading, writing and heartbeats.
+"""Runs peer connections: handshake, reading, writing and heartbeats.
 
-Both the dialling and the listening side use the same task for a connection;
-what a message means is decided by the handler that they pass.
+The dialing and the listening side run the same task for a connection. The
+handlers that each side passes decide what to do with a message.
 """
 
 from __future__ import annotations
@@ -36,12 +36,14 @@
 )
 from quetzaldyke.parts.hlc import MS_IN_S, HybridClock, Stamp
 
-# A heartbeat in a write of its own costs 330 us of processor time at both
-# ends together. A process with many connections spaces them out to stay
-# under 0.8 % of a core; all its control work has 1.3 %.
+# Heartbeats that one process sends per second over all its connections. A
+# heartbeat in a separate write costs 330 us of CPU time, both ends together,
+# so this limit keeps them under 0.8 % of a core; the budget for all control
+# work is 1.3 %.
 HEARTBEATS_PER_S: Final = 25
 
-# The kernel notices an instance that vanished, whatever the interval.
+# With these keepalive and timeout options the kernel detects an instance that
+# vanished, regardless of the heartbeat interval.
 SOCKET_OPTIONS: Final = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 2),
@@ -70,7 +72,7 @@
 
 @dataclass(slots=True)
 class LinkOptions:
-    """What every connection of a process needs."""
+    """Options and handlers shared by all connections of a process."""
 
     secret: str
     clock: HybridClock
@@ -83,19 +85,19 @@
 
 
 def stamp_to_row(stamp: Stamp) -> list[int | str]:
-    """Return the wire form of a stamp."""
+    """Return the wire form of a stamp: wall time, counter and process."""
     return [stamp.wall_ms, stamp.counter, stamp.process]
 
 
 def observe_stamp_row(clock: HybridClock, row: list[int | str]) -> None:
-    """Advance the clock by a stamp from the wire."""
+    """Advance the clock to a stamp from the wire; ignores malformed ones."""
     match row:
         case [int(wall_ms), int(counter), str(process)]:
             clock.observe(Stamp(wall_ms, counter, process))
 
 
 def heartbeat_interval_s(open_sessions: int) -> float:
-    """Return the interval that keeps heartbeats within their budget.
+    """Return the heartbeat interval that keeps within `HEARTBEATS_PER_S`.
 
     >>> heartbeat_interval_s(10), heartbeat_interval_s(130)
     (1.0, 5.2)
@@ -104,7 +106,7 @@
 
 
 def make_heartbeat(options: LinkOptions) -> Heartbeat:
-    """Return a heartbeat with the present stamp, version and interval."""
+    """Return a heartbeat with the current stamp, version and interval."""
     interval_s = heartbeat_interval_s(options.open_sessions)
     return Heartbeat(
         stamp_to_row(options.clock.now()),
@@ -118,10 +120,10 @@
     options: LinkOptions,
     heartbeat: Heartbeat,
 ) -> None:
-    """Follow the peer's clock and its announced interval."""
+    """Advance the clock and set the timeout from the announced interval."""
     observe_stamp_row(options.clock, heartbeat.stamp)
     session.peer_interval_s = heartbeat.interval_ms / MS_IN_S
-    # The peer follows this side's interval when it is the longer one.
+    # Both sides send at the longer of the two intervals.
     slower_s = max(
         session.peer_interval_s,
         heartbeat_interval_s(options.open_sessions),
@@ -130,7 +132,7 @@
 
 
 async def run_session(session: PeerSession, options: LinkOptions) -> None:
-    """Run an authenticated session until it ends."""
+    """Run an authenticated session until it is closed, broken or silent."""
     options.open_sessions += 1
     async with anyio.create_task_group() as group:
         group.start_soon(write_until_closed, session, group.cancel_scope)
@@ -158,7 +160,7 @@
     session: PeerSession,
     scope: anyio.CancelScope,
 ) -> None:
-    """Write queued frames; a broken stream ends the session."""
+    """Write queued frames; cancels the scope if the connection fails."""
     try:
         await session.write_queued()
     except CONNECTION_ERRORS:
@@ -170,7 +172,10 @@
     options: LinkOptions,
     dialer: bool,
 ) -> None:
-    """Authenticate a stream and run its session."""
+    """Authenticate a stream and run its session.
+
+    Returns without an error if the handshake fails.
+    """
     async with stream:
         try:
             session = await open_session(
@@ -186,14 +191,17 @@
 
 
 def set_socket_options(stream: SocketStream) -> None:
-    """Let the kernel close connections to instances that vanished."""
+    """Set `SOCKET_OPTIONS` on the socket of a connection."""
     raw = stream.extra(SocketAttribute.raw_socket)
     for level, option, setting in SOCKET_OPTIONS:
         raw.setsockopt(level, option, setting)
 
 
 async def dial(address: str, options: LinkOptions) -> bool:
-    """Connect to a peer and run the session; False when none was reached."""
+    """Connect to a peer and run the session until it ends.
+
+    Returns False if no connection could be established.
+    """
     host, _, port = address.rpartition(':')
     try:
         stream = await anyio.connect_tcp(host.strip('[]'), int(port))
@@ -210,7 +218,10 @@
     *,
     task_status: TaskStatus[str] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Accept peers until cancelled; reports the bound address."""
+    """Accept peer connections until cancelled.
+
+    Reports the bound address as the task status.
+    """
     host, _, port = address.rpartition(':')
     listener = await anyio.create_tcp_listener(
         local_host=host.strip('[]'),
@@ -228,5 +239,5 @@
 
 
 def bound_port(listener: Listener[SocketStream]) -> int:
-    """Return the port that a listener got."""
+    """Return the local port of a listener."""
     return int(listener.extra(SocketAttribute.local_port))
--- a/src/quetzaldyke/connection/listener.py
+++ b/src/quetzaldyke/connection/listener.py
@@ -1,9 +1,9 @@
-"""Sockets that wait for connections.
+"""Creates listening sockets.
 
-Load pattern: all entries of a fleet end at once and start again while
-callers keep connecting. A process listens before it loads its other modules,
-so that callers wait in the socket's queue for a fraction of a second instead
-of being turned away. This module therefore imports nothing large.
+When all entries of a fleet restart at once, callers keep connecting. A process
+therefore listens before it imports its other modules, so that callers wait in
+the backlog of the socket for a fraction of a second instead of being refused.
+For the same reason, this module imports nothing large.
 """
 
 from __future__ import annotations
@@ -15,12 +15,15 @@
 
 
 def bind(address: str) -> socket.socket:
-    """Return a bound socket; port 0 takes any free port."""
+    """Return a non-blocking socket bound to an address.
+
+    Port 0 selects any free port. Raises OSError if binding fails.
+    """
     host, _, port = address.rpartition(':')
     unbracketed_host = host.strip('[]')
     family = socket.AF_INET6 if ':' in unbracketed_host else socket.AF_INET
-    # asyncio turns Nagle's algorithm off only on sockets with this protocol
-    # number; without it each answer took 40 ms.
+    # asyncio only disables Nagle's algorithm on sockets with this protocol
+    # number; with the algorithm, each response took 40 ms.
     bound = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
@@ -33,7 +36,7 @@
 
 
 def listen(address: str) -> socket.socket:
-    """Return a socket whose queue takes connections from now on."""
+    """Return a socket that listens; connections wait in its backlog."""
     bound = bind(address)
     bound.listen(BACKLOG)
     return bound
--- a/src/quetzaldyke/connection/loopback_backend.py
+++ b/src/quetzaldyke/connection/loopback_backend.py
@@ -1,7 +1,7 @@
-"""Network backend for httpcore without a time limit where none is asked for.
+"""Network backend for httpcore that reads without a cancel scope.
 
-The library's own backend opens a cancel scope for each read even without a
-timeout, which is a quarter of the cost of relaying a token.
+httpcore's backend opens a cancel scope for each read even without a timeout,
+which is a quarter of the cost of relaying a token.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
         max_bytes: int,
         timeout: float | None = None,
     ) -> bytes:
-        """Return the next bytes; none at the end of the stream."""
+        """Return the next bytes; empty at the end of the stream."""
         try:
             if timeout is None:
                 return await self.stream.receive(max_bytes)
@@ -53,7 +53,7 @@
         buffer: bytes,
         timeout: float | None = None,
     ) -> None:
-        """Send bytes."""
+        """Send all bytes."""
         try:
             with anyio.fail_after(timeout):
                 await self.stream.send(buffer)
@@ -72,18 +72,21 @@
         server_hostname: str | None = None,
         timeout: float | None = None,
     ) -> httpcore.AsyncNetworkStream:
-        """Refuse; the endpoint is on loopback."""
-        raise httpcore.UnsupportedProtocol('no TLS on loopback')
+        """Raise UnsupportedProtocol; the endpoint is on loopback."""
+        raise httpcore.UnsupportedProtocol('TLS is not supported on loopback')
 
     def get_extra_info(self, info: str) -> Any:
-        """Tell whether an idle connection was closed by the endpoint."""
+        """Return whether the socket is readable; None for other names.
+
+        An idle connection is readable when the endpoint has closed it.
+        """
         if info == 'is_readable':
             return bool(self.poller.poll(0))
         return None
 
 
 class LoopbackBackend(httpcore.AsyncNetworkBackend):
-    """Opens connections to the endpoint."""
+    """Opens TCP connections to the endpoint."""
 
     async def connect_tcp(
         self,
@@ -93,7 +96,7 @@
         local_address: str | None = None,
         socket_options: Iterable[Any] | None = None,
     ) -> httpcore.AsyncNetworkStream:
-        """Connect to an IP number and port."""
+        """Connect to an IP address and port."""
         try:
             with anyio.fail_after(timeout):
                 stream = await anyio.connect_tcp(host, port)
@@ -107,5 +110,5 @@
         return LoopbackStream(stream, poller)
 
     async def sleep(self, seconds: float) -> None:
-        """Wait before a retry."""
+        """Sleep between connection attempts."""
         await anyio.sleep(seconds)
--- a/src/quetzaldyke/connection/messages.py
+++ b/src/quetzaldyke/connection/messages.py
@@ -1,7 +1,7 @@
-"""Messages between the system's own processes.
+"""Messages exchanged by the processes of the fleet.
 
-Each message is a dataclass with a number. The number must be unused by any
-other message; `connection/codec.py` gives the wire form.
+Each message is a dataclass with a unique number, its kind. The wire form is
+defined in `connection/codec.py`.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class Message:
-    """Base of all messages."""
+    """Base class of all messages."""
 
     kind: ClassVar[int] = 0
 
@@ -38,17 +38,17 @@
 
 @dataclass(slots=True)
 class Heartbeat(Message):
-    """Sent when nothing else was, so that silence means a dead peer."""
+    """Sent if no other message was, so that a dead peer is detected."""
 
     kind: ClassVar[int] = 2
     stamp: list[int | str]
     config_version: int
-    interval_ms: int = 1000  # longest silence before the next message
+    interval_ms: int = 1000  # maximum time to the next message
 
 
 @dataclass(slots=True)
 class Submit(Message):
-    """Entry asks a sidecar to run a request."""
+    """An entry asks a sidecar to run a request."""
 
     kind: ClassVar[int] = 10
     request_id: str
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True)
 class Cancel(Message):
-    """Entry no longer wants a request."""
+    """An entry cancels a request."""
 
     kind: ClassVar[int] = 11
     request_id: str
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True)
 class Window(Message):
-    """Receiver allows this many more chunks of a request."""
+    """The reader of a request grants the sender this many more chunks."""
 
     kind: ClassVar[int] = 12
     request_id: str
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True)
 class BatchDemand(Message):
-    """Entry has batch items waiting; count 0 withdraws the demand."""
+    """An entry has batch items waiting; count 0 withdraws the demand."""
 
     kind: ClassVar[int] = 13
     pool: str
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True)
 class CancelJob(Message):
-    """A job was cancelled: stop its items and refuse later ones."""
+    """A job was cancelled: stop its items and refuse further ones."""
 
     kind: ClassVar[int] = 14
     job_id: str
@@ -109,7 +109,7 @@
 
 @dataclass(slots=True)
 class OrderPrepare(Message):
-    """The order giver asks for a nonce."""
+    """The sender of an order asks the sidecar for a nonce."""
 
     kind: ClassVar[int] = 15
     order_id: str
@@ -117,7 +117,7 @@
 
 @dataclass(slots=True)
 class Order(Message):
-    """An order to the endpoint: model, version, adapter or role."""
+    """An order for the endpoint: load or unload a model, or set a role."""
 
     kind: ClassVar[int] = 16
     order_id: str
@@ -132,7 +132,7 @@
 
 @dataclass(slots=True)
 class LeavingNotice(Message):
-    """The receiver's instance, or the sender itself, is leaving."""
+    """The named instance, the receiver's or the sender's, is leaving."""
 
     kind: ClassVar[int] = 17
     instance: str
@@ -140,17 +140,17 @@
 
 @dataclass(slots=True)
 class EventsRequest(Message):
-    """Asks for the latest events of the peer's time line."""
+    """Asks for the latest events of the peer's timeline."""
 
     kind: ClassVar[int] = 18
     query_id: int
-    contains: str  # only events with this text in a field; empty for all
+    contains: str  # text that a field must contain; empty for all
     limit: int
 
 
 @dataclass(slots=True)
 class Started(Message):
-    """Sidecar handed the request to the endpoint."""
+    """The sidecar has sent the request to the endpoint."""
 
     kind: ClassVar[int] = 30
     request_id: str
@@ -158,7 +158,7 @@
 
 @dataclass(slots=True)
 class Chunk(Message):
-    """Part of an answer; `raw` holds bytes of plain services."""
+    """Part of an answer: text of a model, or `raw` bytes of a service."""
 
     kind: ClassVar[int] = 31
     request_id: str
@@ -170,7 +170,7 @@
 
 @dataclass(slots=True)
 class End(Message):
-    """Explicit end of an answer; `seq` is the number of chunks sent."""
+    """End of a complete answer; `seq` is the number of chunks sent."""
 
     kind: ClassVar[int] = 32
     request_id: str
@@ -198,7 +198,7 @@
 
 @dataclass(slots=True)
 class Report(Message):
-    """State of a sidecar and its endpoint."""
+    """State and load of a sidecar and its endpoint."""
 
     kind: ClassVar[int] = 34
     pool: str
@@ -221,7 +221,7 @@
 
 @dataclass(slots=True)
 class BatchGrant(Message):
-    """Sidecar lets an entry start batch items at once."""
+    """A sidecar permits an entry to start `count` batch items now."""
 
     kind: ClassVar[int] = 35
     grant_id: int
@@ -232,7 +232,7 @@
 
 @dataclass(slots=True)
 class JobStopped(Message):
-    """No item of the job runs here and none will start."""
+    """No item of the job is running at the sender and none will start."""
 
     kind: ClassVar[int] = 36
     job_id: str
@@ -240,7 +240,7 @@
 
 @dataclass(slots=True)
 class OrderNonce(Message):
-    """Answer to OrderPrepare."""
+    """Reply to OrderPrepare."""
 
     kind: ClassVar[int] = 37
     order_id: str
@@ -259,7 +259,7 @@
 
 @dataclass(slots=True)
 class EventsReply(Message):
-    """Events of a process's time line as rows."""
+    """Reply to EventsRequest: events of the sender's timeline as rows."""
 
     kind: ClassVar[int] = 39
     query_id: int
@@ -269,7 +269,7 @@
 
 @dataclass(slots=True)
 class SuspectUpdate(Message):
-    """Crashes by fingerprint, and the crashes that were cleared."""
+    """Crashes by request fingerprint, and those that were cleared."""
 
     kind: ClassVar[int] = 50
     crashes: dict[str, list[str]]  # fingerprint to crash ids
@@ -278,7 +278,7 @@
 
 @dataclass(slots=True)
 class ConfigPush(Message):
-    """A configuration version for a process that is behind."""
+    """A full configuration version for a process with an older one."""
 
     kind: ClassVar[int] = 51
     version: int
@@ -287,7 +287,7 @@
 
 @dataclass(slots=True)
 class ConfigVersion(Message):
-    """The sender holds this configuration version."""
+    """The sender has this configuration version."""
 
     kind: ClassVar[int] = 52
     version: int
@@ -301,12 +301,12 @@
     organisation: str
     job_id: str
     segment: int
-    slack_s: float = 0.0  # time left minus estimated time of the job
+    slack_s: float = 0.0  # time to the deadline minus estimated run time
 
 
 @dataclass(slots=True)
 class UsageReport(Message):
-    """Use of organisations at one entry since the last report."""
+    """Usage of each organisation at one entry since the last report."""
 
     kind: ClassVar[int] = 54
     used: dict[str, int]  # organisation to requests
--- a/src/quetzaldyke/connection/peer.py
+++ b/src/quetzaldyke/connection/peer.py
@@ -1,8 +1,8 @@
-"""Authenticated message session between two of the system's processes.
+"""Authenticated message session between two processes of the fleet.
 
-Both sides prove knowledge of the fleet secret by an HMAC over the other's
-challenge before anything else is read. Afterwards one task reads messages
-in order and one writes what was queued, at most one flush interval later.
+Before any message is read, both sides prove knowledge of the fleet secret by
+an HMAC over the other side's challenge. One task then reads messages in order
+and another writes the queued ones with a delay of one flush interval.
 """
 
 from __future__ import annotations
@@ -38,24 +38,24 @@
 CHALLENGE_BYTES: Final = 16
 FLUSH_INTERVAL_S: Final = 0.002
 HEARTBEAT_INTERVAL_S: Final = 1.0
-# A peer that stays silent for this many of its intervals counts as dead.
+# A peer that sends nothing for this many intervals is considered dead.
 MAX_MISSED_INTERVALS: Final = 3.0
-# A peer that does not read for long has its connection closed, so that its
-# unread messages can't fill this process's memory.
+# The connection is closed when more unsent bytes are queued. A peer that stops
+# reading can therefore not exhaust the memory of this process.
 MAX_PENDING_BYTES: Final = 16_777_216
 
 
 class HandshakeError(Exception):
-    """The peer has another protocol version or no valid credentials."""
+    """The handshake failed: wrong version, credentials or message."""
 
 
 class PeerClosed(Exception):
-    """The session has ended; queued messages may not have arrived."""
+    """The session was closed; queued messages may not have arrived."""
 
 
 @dataclass(slots=True)
 class PeerSession:
-    """One live connection to another process."""
+    """An authenticated connection to another process."""
 
     stream: ByteStream
     reader: FrameReader
@@ -63,33 +63,37 @@
     write_buffer: WriteBuffer = field(default_factory=WriteBuffer)
     closed: bool = False
     silence_timeout_s: float = HEARTBEAT_INTERVAL_S * MAX_MISSED_INTERVALS
-    # The peer asks for at most one unforced message in this time.
+    # Interval announced by the peer; heartbeats and piggybacked messages are
+    # not sent to it more often.
     peer_interval_s: float = HEARTBEAT_INTERVAL_S
-    # When the last bytes came.
+    # Time of the last read from the stream.
     last_received_s: float = 0.0
-    # Frames sent since the last heartbeat was due.
+    # Frames queued since the last heartbeat was due.
     sent_frames: int = 0
-    # Latest state that goes out with the next write, by message kind.
+    # Latest message of each kind that is sent with the next write.
     piggyback: dict[int, Message] = field(default_factory=dict)
 
     def send(self, message: Message) -> None:
-        """Queue a message; does nothing on a closed session."""
+        """Queue a message; does nothing if the session is closed."""
         if self.closed:
             return
         self.write_buffer.put(encode_frame(to_row(message)))
         self.sent_frames += 1
 
     def send_with_next(self, message: Message) -> None:
-        """Send with the next write, or at the latest as a heartbeat.
+        """Send a message with the next write, or when a heartbeat is due.
 
-        A message in a write of its own costs about 300 us of processor time
-        at both ends, one that travels along about 5 us. Only the latest
-        message of a kind is kept.
+        Only the latest message of a kind is kept. A message in a separate
+        write costs about 300 us of CPU time, both ends together; one that is
+        piggybacked on another write costs about 5 us.
         """
         self.piggyback[message.kind] = message
 
     async def messages(self) -> AsyncIterator[Message]:
-        """Yield messages until the peer closes or falls silent."""
+        """Yield received messages until the stream ends or breaks.
+
+        Raises FrameError for a frame that is not a valid message.
+        """
         while True:
             row = self.reader.buffered()
             if row is None:
@@ -100,9 +104,9 @@
             yield from_row(row)
 
     async def cancel_when_silent(self, scope: anyio.CancelScope) -> None:
-        """Cancel the session's scope after too long a silence.
+        """Cancel the scope when nothing was read for the silence timeout.
 
-        One sleeping task costs less than a timeout around every read.
+        A single sleeping task costs less than a timeout for each read.
         """
         self.last_received_s = anyio.current_time()
         remaining_s = self.silence_timeout_s
@@ -113,17 +117,20 @@
         scope.cancel()
 
     async def write_queued(self) -> None:
-        """Write queued frames, gathered over one flush interval."""
+        """Write queued frames, coalesced over one flush interval.
+
+        Raises PeerClosed when more than `MAX_PENDING_BYTES` are queued.
+        """
         while not self.closed:
             await self.write_buffer.wait()
             await anyio.sleep(FLUSH_INTERVAL_S)
             if len(self.write_buffer.pending) > MAX_PENDING_BYTES:
-                raise PeerClosed('the peer does not read')
+                raise PeerClosed('write buffer full: the peer does not read')
             self.queue_piggyback()
             await self.stream.send(self.write_buffer.drain())
 
     def queue_piggyback(self) -> None:
-        """Queue the messages that wait for the next write."""
+        """Queue the messages that were set aside for the next write."""
         waiting = list(self.piggyback.values())
         self.piggyback.clear()
         for message in waiting:
@@ -133,10 +140,10 @@
         self,
         make_heartbeat: Callable[[], Heartbeat],
     ) -> None:
-        """Send a heartbeat when an interval passed without a message.
+        """Send a heartbeat when no frame was sent during an interval.
 
-        A changed interval is always announced, because the peer judges
-        silence by it.
+        A changed interval is always announced, because the peer derives its
+        silence timeout from it.
         """
         announced_ms = 0
         while True:
@@ -150,12 +157,12 @@
             await anyio.sleep(max(own_interval_s, self.peer_interval_s))
 
     async def flush(self) -> None:
-        """Write everything that is queued now."""
+        """Write all queued frames without waiting for the interval."""
         await self.stream.send(self.write_buffer.drain())
 
 
 async def read_row_or_none(reader: FrameReader) -> list[object] | None:
-    """Read a row; None when the stream has ended."""
+    """Return the next row; None if the stream ended or broke."""
     try:
         return await reader.read()
     except (
@@ -168,9 +175,10 @@
 
 
 def compute_proof(secret: str, challenge: bytes, side: str) -> bytes:
-    """Return the HMAC that one side owes for a challenge.
+    """Return the HMAC with which one side answers a challenge.
 
-    The side is part of the text, so that a challenge can't be reflected.
+    The side is part of the authenticated text, which prevents reflection
+    attacks.
     """
     text = side.encode() + challenge
     return hmac.new(secret.encode(), text, hashlib.sha256).digest()
@@ -182,16 +190,20 @@
     own_hello: Hello,
     dialer: bool,
 ) -> PeerSession:
-    """Authenticate both sides and exchange Hello."""
+    """Authenticate both sides, exchange Hello and return the session.
+
+    Raises HandshakeError if the peer is refused, TimeoutError after
+    `HANDSHAKE_TIMEOUT_S`, and FrameError for a malformed frame.
+    """
     reader = FrameReader(stream, max_bytes=HANDSHAKE_FRAME_BYTES)
     with anyio.fail_after(HANDSHAKE_TIMEOUT_S):
         await authenticate(stream, reader, secret, dialer)
         await stream.send(encode_frame(to_row(own_hello)))
         remote = from_row(await reader.read())
     if not isinstance(remote, Hello):
-        raise HandshakeError('the first message is not Hello')
+        raise HandshakeError('expected Hello as the first message')
     if remote.protocol != PROTOCOL_VERSION:
-        raise HandshakeError(f'protocol version {remote.protocol}')
+        raise HandshakeError(f'unsupported protocol version {remote.protocol}')
     reader.max_bytes = MAX_FRAME_BYTES
     return PeerSession(stream, reader, remote)
 
@@ -202,7 +214,7 @@
     secret: str,
     dialer: bool,
 ) -> None:
-    """Exchange challenges and proofs."""
+    """Exchange challenges and proofs; raises HandshakeError on failure."""
     own_side, peer_side = ('d', 'l') if dialer else ('l', 'd')
     challenge = secrets.token_bytes(CHALLENGE_BYTES)
     await stream.send(encode_frame(['challenge', challenge]))
@@ -214,11 +226,14 @@
     if not hmac.compare_digest(
         peer_proof, compute_proof(secret, challenge, peer_side)
     ):
-        raise HandshakeError('wrong credentials')
+        raise HandshakeError('invalid proof of the fleet secret')
 
 
 def parse_handshake_row(row: list[object], name: str) -> bytes:
-    """Return the bytes of a handshake row."""
+    """Return the bytes of a handshake row with this name.
+
+    Raises HandshakeError for any other row.
+    """
     if len(row) == 2 and row[0] == name and isinstance(row[1], bytes):
         return row[1]
     raise HandshakeError(f'expected {name}')
--- a/src/quetzaldyke/connection/service_client.py
+++ b/src/quetzaldyke/connection/service_client.py
@@ -1,7 +1,7 @@
-"""Client of the plain service on this instance.
+"""HTTP client of a service on this instance that is not a model engine.
 
-Small answers travel in the closing message alone; the parts of a larger one
-are handed on as they arrive.
+A small response is returned as a whole, to be sent in the End message alone.
+A larger one is forwarded in chunks as they arrive.
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
 
 @dataclass(slots=True)
 class ServiceClient:
-    """Connections to one plain service."""
+    """Client of one service."""
 
     connections: ConnectionPool
 
     async def healthy(self) -> bool:
-        """Tell whether the service answers its health check.
+        """Tell whether the service responds without a server error.
 
-        A service without a health path still proves that it is up.
+        A 404 is accepted, because a service without a health path is up too.
         """
         try:
             async with self.connections.stream(
@@ -56,7 +56,11 @@
         submit: Submit,
         on_chunk: Callable[[bytes], Awaitable[None]],
     ) -> Result[Answer, EndpointFailure]:
-        """Run one request and hand on parts of a large answer."""
+        """Run one request and pass full chunks of its body to `on_chunk`.
+
+        Returns the answer with the rest of the body. A failure tells whether
+        the request may have run.
+        """
         try:
             async with self.connections.stream(
                 submit.method,
@@ -78,7 +82,7 @@
     response: httpcore.Response,
     on_chunk: Callable[[bytes], Awaitable[None]],
 ) -> bytes:
-    """Hand on full parts of a body and return the rest."""
+    """Pass full chunks of a body to `on_chunk` and return the rest."""
     buffered = bytearray()
     async for chunk in response.aiter_stream():
         buffered += chunk
