--- a/tests/test_caller_connection.py
+++ b/tests/test_caller_connection.py
@@ -1,4 +1,4 @@
-"""Callers that are too slow or stay idle are ended within the limits."""
+"""Tests of the timeouts of slow and idle caller connections."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class SlowApp:
-    """Reads a whole request, then answers when it is told to."""
+    """An app that reads a request and answers once `may_answer` is set."""
 
     def __init__(self) -> None:
         """Create an app that answers at once."""
@@ -68,7 +68,11 @@
     after_s: float,
     app: SlowApp,
 ) -> tuple[dict[str, int], bytes]:
-    """Send bytes, pass a time, and return what was ended and answered."""
+    """Send bytes, let time pass and apply the timeouts.
+
+    Returns the number of closed connections by kind of timeout, and the bytes
+    received until the close.
+    """
     stopping = anyio.Event()
     async with anyio.create_task_group() as group:
         http: HttpServer = await group.start(
@@ -96,16 +100,16 @@
 
 
 async def until_received(http: HttpServer, sent: bytes) -> None:
-    """Wait until the server has read what was sent."""
+    """Wait until the server has read the sent bytes."""
     with anyio.fail_after(5):
         while not http.server.server_state.connections:
             await anyio.sleep(0.01)
-    # What was sent over loopback is read within a few turns of the loop.
+    # Bytes sent over loopback are read within a few event loop iterations.
     await anyio.sleep(0.05 if sent else 0)
 
 
 async def read_all(stream: SocketStream) -> bytes:
-    """Return everything until the server closes."""
+    """Return all bytes received until the server closes."""
     received = b''
     with anyio.fail_after(5):
         while True:
@@ -126,20 +130,20 @@
         (b'', IDLE_TIMEOUT_S - 1, '', False),
     ],
 )
-async def test_slow_caller_is_ended_at_its_limit(
+async def test_slow_connection_is_closed_at_its_timeout(
     sent: bytes,
     after_s: float,
     reason: str,
     answered: bool,
 ) -> None:
-    """Guards against connections that hold memory for ever."""
+    """Guards against connections that use memory forever."""
     ended, answer = await exchange(sent, after_s, SlowApp())
     assert ended == ({reason: 1} if reason else {})
     assert answer.startswith(b'HTTP/1.1 408 ') == answered
 
 
-async def test_request_that_is_whole_is_never_timed_out() -> None:
-    """Guards against a long answer that is cut as an idle connection."""
+async def test_complete_request_is_never_timed_out() -> None:
+    """Guards against closing a connection as idle during a long answer."""
     app = SlowApp()
     app.may_answer = anyio.Event()
     ended, _ = await exchange(HEAD + b'abcd', IDLE_TIMEOUT_S * 10, app)
@@ -148,7 +152,11 @@
 
 
 async def test_answer_is_not_cut_for_a_slow_second_request() -> None:
-    """Guards against a cut stream whose caller has begun another request."""
+    """Guards against cutting an answer for the next request's head.
+
+    The caller has sent a part of a second request while the first one is
+    still being answered.
+    """
     app = SlowApp()
     app.may_answer = anyio.Event()
     sent = HEAD + b'abcd' + b'POST / HTTP/1.1\r\nho'
@@ -157,7 +165,7 @@
 
 
 async def test_idle_time_counts_from_the_end_of_an_answer() -> None:
-    """Guards against a close right after a long answer."""
+    """Guards against closing a connection right after a long answer."""
     app = SlowApp()
     app.may_answer = anyio.Event()
     stopping = anyio.Event()
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""Tests of the ordered stream of each request on a connection."""
+"""Tests of request streams that share one connection."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 
 class Session:
-    """A session that keeps what is sent."""
+    """A session that records sent messages."""
 
     def __init__(self) -> None:
         self.sent: list[Message] = []
 
     def send(self, message: Message) -> None:
-        """Keep a message."""
+        """Record a message."""
         self.sent.append(message)
 
 
@@ -46,12 +46,12 @@
 
 
 def end(seq: int) -> End:
-    """Return the end of an answer."""
+    """Return an End message that counts `seq` chunks."""
     return End('r1', seq, 200, {}, b'', 'stop', 1, seq)
 
 
 async def read_all(table: CallTable, events: list[Message]) -> list[Any]:
-    """Deliver events and return what the reader of the request gets."""
+    """Deliver events and return the events that the reader receives."""
     call = table.begin(make_submit())
     for event in events:
         table.deliver(event)
@@ -64,32 +64,38 @@
 
 
 @given(
-    copies=st.lists(st.integers(0, 3), max_size=12),
-    counted=st.integers(0, 1),
+    copies_per_chunk=st.lists(st.integers(0, 3), max_size=12),
+    excess_count=st.integers(0, 1),
 )
-def test_answer_is_whole_or_failed(copies: list[int], counted: int) -> None:
-    """Guards against a short, doubled or reordered answer."""
+def test_answer_is_complete_or_failed(
+    copies_per_chunk: list[int], excess_count: int
+) -> None:
+    """Guards against truncated, duplicated or reordered answers.
+
+    Each chunk is delivered 0 to 3 times, and the End message counts the right
+    number of chunks or one too many.
+    """
     events: list[Message] = [
         Chunk('r1', seq, f' {seq}', 1)
-        for seq, times in enumerate(copies)
+        for seq, times in enumerate(copies_per_chunk)
         for _ in range(times)
     ]
     table, _ = make_table()
-    sent = [*events, end(len(copies) + counted)]
+    sent = [*events, end(len(copies_per_chunk) + excess_count)]
     found = anyio.run(read_all, table, sent)
     text = [one.text for one in found if isinstance(one, Chunk)]
     assert text == [f' {seq}' for seq in range(len(text))]
-    whole = 0 not in copies and not counted
+    complete = 0 not in copies_per_chunk and not excess_count
     last = found[-1]
-    assert isinstance(last, End) is whole
-    assert not whole or len(text) == len(copies)
-    assert whole or (isinstance(last, Failed) and last.ran == 'unknown')
+    assert isinstance(last, End) is complete
+    assert not complete or len(text) == len(copies_per_chunk)
+    assert complete or (isinstance(last, Failed) and last.ran == 'unknown')
     assert not table.calls
 
 
 @pytest.mark.parametrize('chunks', [31, 32, 200])
-def test_read_chunks_are_granted_again(chunks: int) -> None:
-    """Guards against a sender that waits for credit for ever."""
+def test_read_chunks_are_credited(chunks: int) -> None:
+    """Guards against a sender that never gets more credit."""
     table, session = make_table()
     events: list[Message] = [Chunk('r1', seq, 'x', 1) for seq in range(chunks)]
     anyio.run(read_all, table, [*events, end(chunks)])
@@ -97,8 +103,8 @@
     assert chunks - sum(granted) < 32
 
 
-def test_reader_that_leaves_cancels_the_request() -> None:
-    """Guards against an endpoint that works for a caller who is gone."""
+def test_closed_reader_cancels_the_request() -> None:
+    """Guards against an endpoint that runs a request nobody reads."""
     table, session = make_table()
 
     async def scenario() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of the fleet's links to sidecars."""
+"""Tests of the connections from an entry to sidecars."""
 
 from __future__ import annotations
 
@@ -15,7 +15,11 @@
 
 
 def test_second_connection_to_a_sidecar() -> None:
-    """Guards against requests that hang when their link is replaced."""
+    """Guards against requests that hang after a second connection.
+
+    The second connection replaces the first one in the fleet's table while a
+    request runs, and is closed again.
+    """
 
     async def scenario() -> None:
         async with make_fleet(engines=1, engine={'step_ms': 5.0}) as fleet:
@@ -50,15 +54,15 @@
     anyio.run(scenario)
 
 
-@pytest.mark.parametrize(('limit_s', 'ended'), [(0.01, True), (600.0, False)])
-def test_silent_peer_is_dropped(limit_s: float, ended: bool) -> None:
-    """Guards against a dead peer that keeps its place among the live."""
+@pytest.mark.parametrize(('timeout_s', 'ended'), [(0.01, True), (600.0, False)])
+def test_silent_peer_is_disconnected(timeout_s: float, ended: bool) -> None:
+    """Guards against a dead peer that is still considered connected."""
 
     async def scenario() -> None:
         nothing = cast(Any, None)
         remote = Hello(1, 'sidecar', 'engine-1', 'a', 'inc')
         session = PeerSession(nothing, nothing, remote)
-        session.silence_timeout_s = limit_s
+        session.silence_timeout_s = timeout_s
         async with anyio.create_task_group() as group:
             group.start_soon(session.cancel_when_silent, group.cancel_scope)
             with anyio.move_on_after(5 if ended else 0.1):
--- a/tests/test_http_endpoint.py
+++ b/tests/test_http_endpoint.py
@@ -1,4 +1,4 @@
-"""Tests of the connections to an endpoint."""
+"""Tests of the connection pool for an endpoint."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def test_connection_closed_by_the_endpoint_is_not_used() -> None:
-    """Guards against a lost request on a connection that has ended."""
+    """Guards against sending a request on a closed idle connection."""
 
     async def scenario() -> None:
         served: list[int] = []
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -1,4 +1,4 @@
-"""Tests of serving an ASGI app inside the event loop."""
+"""Tests of serving an ASGI app in the running event loop."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 async def stop_during_request(crash: bool) -> tuple[str, bool, bool]:
     """Stop a server while it handles a request.
 
-    Returns the answer, whether the handler was broken off, and whether a
-    later connection is refused.
+    Returns the answer or the name of the error, whether the handler was
+    cancelled, and whether a later connection is refused.
     """
     entered = anyio.Event()
-    finish = anyio.Event()
-    broken_off: list[bool] = []
+    may_answer = anyio.Event()
+    handler_cancelled: list[bool] = []
 
     async def slow(_request: Request) -> Response:
         entered.set()
         try:
-            await finish.wait()
+            await may_answer.wait()
         except BaseException:
-            broken_off.append(True)
+            handler_cancelled.append(True)
             raise
         return PlainTextResponse('whole')
 
@@ -60,30 +60,30 @@
                 group.cancel_scope.cancel()
             else:
                 stopping.set()
-                # The listener is closed at the server's next tick.
+                # The server closes its listener at its next tick.
                 while http.server.servers[0].is_serving():
                     await anyio.sleep(0.01)
-                finish.set()
+                may_answer.set()
         await anyio.sleep(0.05)
         await request(url)
-    return answers[0], bool(broken_off), answers[1] == 'ConnectError'
+    return answers[0], bool(handler_cancelled), answers[1] == 'ConnectError'
 
 
 def test_graceful_stop_finishes_requests() -> None:
-    """Guards against a planned stop that cuts a request."""
+    """Guards against a graceful shutdown that aborts a request."""
     assert anyio.run(stop_during_request, False) == ('whole', False, True)
 
 
 def test_cancelling_breaks_requests() -> None:
-    """Guards against requests that go on after their process crashed."""
-    answer, broken_off, refused = anyio.run(stop_during_request, True)
+    """Guards against requests that still run after a simulated crash."""
+    answer, handler_cancelled, refused = anyio.run(stop_during_request, True)
     assert answer in {'RemoteProtocolError', 'ReadError'}
-    assert broken_off
+    assert handler_cancelled
     assert refused
 
 
-def test_signal_handlers_stay() -> None:
-    """Guards against a library that takes over SIGTERM."""
+def test_signal_handlers_are_unchanged() -> None:
+    """Guards against uvicorn replacing the handler of SIGTERM."""
 
     async def serve_once() -> object:
         stopping = anyio.Event()
@@ -98,7 +98,7 @@
 
 
 def test_occupied_port_is_reported() -> None:
-    """Guards against two servers that share a port without a word."""
+    """Guards against two servers that share a port without an error."""
 
     async def serve_twice() -> None:
         stopping = anyio.Event()
--- a/tests/test_kv_http.py
+++ b/tests/test_kv_http.py
@@ -1,4 +1,4 @@
-"""Tests of the store's HTTP adapter against the stand-in, over sockets."""
+"""Tests of the key-value store client against the stand-in server."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def run(steps: Steps[T], timeout_s: float = 5) -> T:
-    """Run a test with a stand-in and a store."""
+    """Run steps with a stand-in and a store connected to it."""
 
     async def main() -> T:
         async with anyio.create_task_group() as group:
@@ -33,7 +33,7 @@
 
 
 async def wait_until(holds: Callable[[], bool]) -> None:
-    """Wait for a condition."""
+    """Wait up to 10 s until a condition holds."""
     with anyio.fail_after(10):
         while not holds():
             await anyio.sleep(0.002)
@@ -67,10 +67,10 @@
 
 
 def test_refused_connection_is_unavailable() -> None:
-    """Guards against `unknown` for calls that were never sent."""
+    """Guards against `unknown` for calls that could not connect."""
 
     async def steps(kv: KvStandin, store: HttpKeyValueStore) -> None:
-        # Leaves an open connection that the outage breaks.
+        # Opens a connection, which the outage breaks.
         assert await store.get('a') == Ok(None)
         kv.faults.down = True
         await wait_until(lambda: not kv.outage.listening)
@@ -83,7 +83,11 @@
 
 
 def test_no_place_in_line_is_unavailable() -> None:
-    """Guards against `unknown` for calls that waited and were never sent."""
+    """Guards against `unknown` for calls that only waited to be sent.
+
+    With one connection, the first call times out after it was sent and the
+    second one while it waits for the connection.
+    """
 
     async def steps(kv: KvStandin, store: HttpKeyValueStore) -> list[str]:
         store.calls.max_connections = 1
@@ -123,7 +127,7 @@
     fault: dict[str, int],
     applied: bool,
 ) -> None:
-    """Guards against a certain result after the request was sent."""
+    """Guards against `unavailable` once a request was sent."""
 
     async def steps(kv: KvStandin, store: HttpKeyValueStore) -> None:
         for name, setting in fault.items():
@@ -135,7 +139,7 @@
 
 
 def test_value_limit() -> None:
-    """Guards against values that only one side of the protocol refuses."""
+    """Guards against client and server with different size limits."""
 
     async def steps(kv: KvStandin, store: HttpKeyValueStore) -> None:
         assert (await store.put_if('a', b'x' * 1_000_000, 0)).is_ok()
@@ -168,7 +172,7 @@
 
 
 def test_revoke_deletes_keys() -> None:
-    """Guards against keys that stay after their lease was ended."""
+    """Guards against keys that remain after their lease was revoked."""
 
     async def steps(_kv: KvStandin, store: HttpKeyValueStore) -> None:
         lease = (await store.grant_lease(60)).unwrap()
@@ -200,7 +204,7 @@
             await wait_until(lambda: len(seen) == 3)
             assert kv.counts.calls['watch'] == 1
             assert kv.counts.open_watches == 1
-            # An outage ends the watch without an error.
+            # The outage ends the watch without an error.
             kv.faults.down = True
         return seen
 
@@ -214,8 +218,8 @@
     ]
 
 
-def test_watch_of_discarded_changes_ends() -> None:
-    """Guards against a watch that silently leaves out old changes."""
+def test_watch_of_compacted_changes_ends() -> None:
+    """Guards against a watch that silently omits compacted changes."""
 
     async def steps(kv: KvStandin, store: HttpKeyValueStore) -> list[Change]:
         await store.put_if('a', b'', 0)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Tests of frames, messages and the peer handshake."""
+"""Tests of frames, message encoding and the peer handshake."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def hello(instance: str, protocol: int = 1) -> messages.Hello:
-    """Return a Hello of a process."""
+    """Return the Hello message of an entry."""
     return messages.Hello(protocol, 'entry', instance, 'a', 'inc')
 
 
@@ -55,8 +55,8 @@
     seq=st.integers(0, 2**40),
     raw=st.binary(max_size=200),
 )
-def test_messages_survive_the_wire(text: str, seq: int, raw: bytes) -> None:
-    """Guards against fields that are reordered or changed on the way."""
+def test_message_round_trip(text: str, seq: int, raw: bytes) -> None:
+    """Guards against fields that are reordered or changed by encoding."""
     sent = messages.Chunk('r1', seq, text, 1, raw)
     assert codec.from_row(codec.to_row(sent)) == sent
 
@@ -72,14 +72,14 @@
         [messages.Window.kind, 'r1', 'not a number'],
     ],
 )
-def test_malformed_rows_are_refused(row: list[object]) -> None:
-    """Guards against acting on a message of another shape."""
+def test_malformed_rows_are_rejected(row: list[object]) -> None:
+    """Guards against acting on a message that does not match its type."""
     with pytest.raises(FrameError):
         codec.from_row(row)
 
 
 @pytest.mark.parametrize(
-    ('secrets_given', 'protocol', 'accepted'),
+    ('secrets', 'protocol', 'accepted'),
     [
         ((SECRET, SECRET), 1, True),
         ((SECRET, 'another-secret-01'), 1, False),
@@ -87,11 +87,11 @@
     ],
 )
 def test_handshake(
-    secrets_given: tuple[str, str],
+    secrets: tuple[str, str],
     protocol: int,
     accepted: bool,
 ) -> None:
-    """Guards against peers without credentials or of another version."""
+    """Guards against peers with a wrong secret or protocol version."""
 
     async def side(
         stream: PipeStream,
@@ -112,13 +112,11 @@
         outcomes: list[bool] = []
         left, right = pipe()
         async with anyio.create_task_group() as group:
-            group.start_soon(
-                side, left, secrets_given[0], hello('a'), True, outcomes
-            )
+            group.start_soon(side, left, secrets[0], hello('a'), True, outcomes)
             group.start_soon(
                 side,
                 right,
-                secrets_given[1],
+                secrets[1],
                 hello('b', protocol),
                 False,
                 outcomes,
@@ -128,8 +126,8 @@
     assert all(anyio.run(scenario)) is accepted
 
 
-def test_oversized_frame_before_authentication_is_refused() -> None:
-    """Guards against memory use by a stranger before it proved itself."""
+def test_oversized_frame_before_authentication_is_rejected() -> None:
+    """Guards against memory use by a peer that is not authenticated."""
 
     async def scenario() -> None:
         left, right = pipe()
@@ -142,7 +140,7 @@
 
 @pytest.mark.parametrize('frames', [1, 3])
 def test_buffered_frames_are_read_in_order(frames: int) -> None:
-    """Guards against frames that are lost or split when they arrive together."""
+    """Guards against lost or split frames if several arrive in one read."""
 
     async def scenario() -> list[object]:
         left, right = pipe()
@@ -158,7 +156,7 @@
 
 
 def test_only_the_latest_piggyback_is_sent() -> None:
-    """Guards against a queue of outdated reports behind one write."""
+    """Guards against outdated reports that are sent with one write."""
 
     async def scenario() -> list[object]:
         left, right = pipe()
