--- a/src/quetzaldyke/connection/engine_client.py
+++ b/src/quetzaldyke/connection/engine_client.py
@@ -259,7 +259,7 @@
     """
     body = await read_body(response, MAX_ERROR_BYTES)
     if response.status == TOO_MANY_REQUESTS:
-        return Err(EndpointFailure('not_run', 'engine is at capacity'))
+        return Err(EndpointFailure('not_run', 'engine is full'))
     if response.status == CONFLICT:
         return Err(EndpointFailure('not_run', 'request id is in use'))
     if response.status >= FIRST_SERVER_ERROR_STATUS:
