--- a/src/quetzaldyke/connection/caller_connection.py
+++ b/src/quetzaldyke/connection/caller_connection.py
@@ -1,9 +1,9 @@
 """HTTP connection of a caller, with the timeouts set by the operator.
 
-The timeouts guard against callers that open connections and send nothing, or
-send a request so slowly that it holds memory and a file descriptor forever. A
-request that was received completely is never timed out here: its route limits
-how long it may take.
+Load pattern: callers that open connections and send nothing, or send a
+request so slowly that it holds memory and a file descriptor forever. A request
+that was received completely is never timed out here: its route says how long
+it may take.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
         super().on_response_complete()
 
     def is_serving(self) -> bool:
-        """Tell whether a request is being received or answered."""
+        """Tell whether a request is being read or answered."""
         return self.cycle is not None and not self.cycle.response_complete
 
     def expired_timeout(
--- a/src/quetzaldyke/connection/config_messages.py
+++ b/src/quetzaldyke/connection/config_messages.py
@@ -49,8 +49,8 @@
 class VersionReply(Message):
     """Reply once all connected processes have the version, or at timeout.
 
-    `reached` concatenates the 8-byte marks of the processes that have it, so
-    that a reply for 500 processes takes 4 KB.
+    `reached` concatenates the 8-byte hashes of the names of the processes
+    that have it, so that a reply for 500 processes takes 4 KB.
     """
 
     kind: ClassVar[int] = 59
--- a/src/quetzaldyke/connection/engine_client.py
+++ b/src/quetzaldyke/connection/engine_client.py
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True)
 class StreamState:
-    """State of one stream as told by the events received so far."""
+    """State of one stream after the events received so far."""
 
     finish_reason: str = ''
     prompt_tokens: int = 0
