--- a/src/quetzaldyke/process/batch_commit.py
+++ b/src/quetzaldyke/process/batch_commit.py
@@ -64,9 +64,9 @@
         if isinstance(written, Ok):
             segment.adopt_progress(written.ok_value, self.now_s())
             return 'done' if written.ok_value.state == 'done' else 'open'
-        if written.err_value == progress.LOST:
+        if written.err_value == progress.OWNERSHIP_LOST:
             return 'lost'
-        if written.err_value == progress.STALE:
+        if written.err_value == progress.RECORD_CHANGED:
             # An earlier write whose response was lost has taken effect.
             return await self.confirm(segment)
         return 'retry'
@@ -85,7 +85,7 @@
             return 'lost'
         if record.state == 'done' and record.owner == segment.progress.owner:
             return 'done' if record.epoch == segment.progress.epoch else 'lost'
-        if not progress.holds(record, segment.progress):
+        if not progress.is_still_owned(record, segment.progress):
             return 'lost'
         segment.adopt_progress(record, self.now_s())
         segment.confirmed = True
--- a/src/quetzaldyke/process/batch_coordinator.py
+++ b/src/quetzaldyke/process/batch_coordinator.py
@@ -26,7 +26,7 @@
 from quetzaldyke.durable import active, cancel, jobs, keys, progress
 from quetzaldyke.durable.order import (
     MS_IN_S,
-    deal_fairly,
+    round_robin_by_organisation,
     slack_s,
 )
 from quetzaldyke.durable.records import FINAL_STATES, ActiveJob, JobRecord
@@ -133,7 +133,7 @@
         """Coordinate each list for which this entry ranks first."""
         self.round_number += 1
         members = self.reachable()
-        for number in range(keys.ACTIVE_LISTS):
+        for number in range(keys.ACTIVE_LIST_COUNT):
             if (
                 first_for(members, keys.active_key(number))
                 == self.worker.own_name
@@ -241,7 +241,7 @@
     async def resume_cancel(self, view: JobView) -> None:
         """Continue a cancellation, whichever entry began it."""
         try:
-            driven = await cancel.drive_cancel(
+            driven = await cancel.advance_cancel(
                 self.worker.store,
                 view.job,
                 self.stop_everywhere,
@@ -339,7 +339,7 @@
             count = view.segments_to_assign(members, min_owners, at_risk)
             offers = offers_of(view, slacks, ownerless)[:count]
             queues.append((view.job.organisation, offers))
-        return deal_fairly(queues, limit)
+        return round_robin_by_organisation(queues, limit)
 
     def refresh_offers(
         self,
