--- /dev/null
+++ b/src/quetzaldyke/connection/caller_connection.py
@@ -0,0 +1,80 @@
+"""HTTP connection of a caller, with the timeouts set by the operator.
+
+Load pattern: callers that open connections and send nothing, or send a
+request so slowly that it holds memory and a file descriptor forever. A request
+that was received completely is never timed out here: its route says how long
+it may take.
+"""
+
+from __future__ import annotations
+
+from typing import Any, Final, Literal
+
+from uvicorn.protocols.http.httptools_impl import HttpToolsProtocol
+
+REQUEST_TIMEOUT_RESPONSE: Final = (
+    b'HTTP/1.1 408 Request Timeout\r\n'
+    b'connection: close\r\n'
+    b'content-length: 0\r\n'
+    b'\r\n'
+)
+
+TimeoutKind = Literal['head', 'body', 'idle']
+
+
+class CallerConnection(HttpToolsProtocol):
+    """A connection that records the times its timeouts are based on."""
+
+    def __init__(self, *args: Any, **keywords: Any) -> None:
+        """Create a connection that has received nothing yet."""
+        super().__init__(*args, **keywords)
+        # When the head that is being received began; None if there is none.
+        self.head_started_s: float | None = None
+        # When data was last received or a response was completed.
+        self.last_active_s = self.loop.time()
+
+    def data_received(self, data: bytes) -> None:
+        """Record the time of the caller's activity."""
+        self.last_active_s = self.loop.time()
+        super().data_received(data)
+
+    def on_message_begin(self) -> None:
+        """Start the header timeout of a request."""
+        self.head_started_s = self.loop.time()
+        super().on_message_begin()
+
+    def on_headers_complete(self) -> None:
+        """Stop the header timeout."""
+        self.head_started_s = None
+        super().on_headers_complete()
+
+    def on_response_complete(self) -> None:
+        """Start the idle timeout at the end of a response."""
+        self.last_active_s = self.loop.time()
+        super().on_response_complete()
+
+    def is_serving(self) -> bool:
+        """Tell whether a request is being read or answered."""
+        return self.cycle is not None and not self.cycle.response_complete
+
+    def expired_timeout(
+        self,
+        header_timeout_s: float,
+        idle_timeout_s: float,
+        now_s: float,
+    ) -> TimeoutKind | None:
+        """Return the kind of timeout that has expired, or None."""
+        if self.is_serving() and not self.cycle.more_body:
+            return None
+        if self.head_started_s is not None:
+            expired = now_s - self.head_started_s > header_timeout_s
+            return 'head' if expired else None
+        if now_s - self.last_active_s <= idle_timeout_s:
+            return None
+        return 'body' if self.is_serving() else 'idle'
+
+    def close_expired(self, reason: TimeoutKind) -> None:
+        """Close the connection; a partial request is answered with 408."""
+        if reason != 'idle':
+            self.transport.write(REQUEST_TIMEOUT_RESPONSE)
+        self.transport.close()
--- a/src/quetzaldyke/connection/engine_client.py
+++ b/src/quetzaldyke/connection/engine_client.py
@@ -1,8 +1,8 @@
-"""Client of the model engine on this instance.
+"""HTTP client of the model engine on this instance.
 
 Answers are always streamed, so that the text produced so far is known when
-a stream is preempted or breaks. A stream without its closing mark is
-incomplete and never passed off as an answer.
+a stream is preempted or breaks. A stream without its end marker is incomplete
+and is reported as a failure.
 """
 
 from __future__ import annotations
@@ -25,66 +25,69 @@
 from result import Err, Ok, Result
 
 from quetzaldyke.connection.http_endpoint import (
-    BROKEN,
     CONTROL_TIMEOUT_S,
-    SERVER_ERROR,
-    SUCCESS_LIMIT,
+    FIRST_REDIRECT_STATUS,
+    FIRST_SERVER_ERROR_STATUS,
+    TRANSPORT_ERRORS,
     Answer,
-    Connections,
+    ConnectionPool,
     EndpointFailure,
-    failure_of,
-    headers_of,
+    classify_error,
     read_body,
     request_headers,
+    response_headers,
 )
 from quetzaldyke.connection.messages import Order, Submit
 
-DONE_MARK: Final = '[DONE]'
+END_MARKER: Final = '[DONE]'
 MAX_ERROR_BYTES: Final = 65536
 TOO_MANY_REQUESTS: Final = 429
 CONFLICT: Final = 409
 NOT_FOUND: Final = 404
-CANCEL_TRIES: Final = 3
-CANCEL_PAUSE_S: Final = 0.02
-# A load copies weights from the rate-limited store and can take minutes.
+CANCEL_ATTEMPTS: Final = 3
+CANCEL_RETRY_DELAY_S: Final = 0.02
+# Loading copies weights from the rate-limited store and can take minutes.
 ORDER_TIMEOUT_S: Final = 600.0
-TAIL_WAIT_S: Final = 0.1
+REMAINING_TIMEOUT_S: Final = 0.1
 
 
 @dataclass(slots=True)
-class Piece:
-    """Text and tokens that arrived together."""
+class TextDelta:
+    """Text that was received in one read, and its number of tokens."""
 
     text: str = ''
     tokens: int = 0
 
 
 @dataclass(slots=True)
-class Progress:
-    """What the events of one stream have said so far."""
+class StreamState:
+    """State of one stream after the events received so far."""
 
     finish_reason: str = ''
     prompt_tokens: int = 0
     completion_tokens: int = 0
-    whole: bool = False
+    complete: bool = False
     error: str = ''
 
 
 def utf8_decoder() -> codecs.IncrementalDecoder:
-    """Return a decoder that keeps the start of a cut character."""
+    """Return a UTF-8 decoder that buffers incomplete characters.
+
+    Invalid bytes are replaced.
+    """
     return codecs.getincrementaldecoder('utf-8')('replace')
 
 
 @dataclass(slots=True)
 class EventReader:
-    """Server-sent events out of parts of a body."""
+    """Incremental parser of server-sent events."""
 
     utf8: codecs.IncrementalDecoder = field(default_factory=utf8_decoder)
     lines: SSELineDecoder = field(default_factory=SSELineDecoder)
     events: SSEDecoder = field(default_factory=SSEDecoder)
 
     def feed(self, raw: bytes) -> Iterator[str]:
-        """Yield the data of the events that are complete now."""
+        """Add bytes and yield the data of the events completed by them."""
         for line in self.lines.decode(self.utf8.decode(raw)):
             event = self.events.decode(line)
             if event is not None:
@@ -93,9 +96,9 @@
 
 @dataclass(slots=True)
 class EngineClient:
-    """Connections to one engine."""
+    """Client of one engine."""
 
-    connections: Connections
+    connections: ConnectionPool
 
     async def call(
         self,
@@ -104,7 +107,10 @@
         body: bytes = b'',
         read_s: float = CONTROL_TIMEOUT_S,
     ) -> Result[tuple[int, object], EndpointFailure]:
-        """Make a control call and return its status and JSON content."""
+        """Make a control call and return its status and JSON content.
+
+        The content is None if it is not JSON; fails if the transport does.
+        """
         try:
             async with self.connections.stream(
                 method,
@@ -114,65 +120,71 @@
                 read_s,
             ) as response:
                 content = await response.aread()
-        except BROKEN as exc:
-            return Err(failure_of(exc))
-        return Ok((response.status, parse(content)))
+        except TRANSPORT_ERRORS as exc:
+            return Err(classify_error(exc))
+        return Ok((response.status, parse_json(content)))
 
     async def healthy(self) -> bool:
-        """Tell whether the engine answers its health check."""
+        """Tell whether the health check of the engine succeeds."""
         outcome = await self.call('GET', '/health')
-        return outcome.is_ok() and outcome.unwrap()[0] < SUCCESS_LIMIT
+        return outcome.is_ok() and outcome.unwrap()[0] < FIRST_REDIRECT_STATUS
 
     async def running_ids(self) -> Result[list[str], EndpointFailure]:
         """Return the ids of the streams that the engine runs."""
         outcome = await self.call('GET', '/v1/requests')
-        return outcome.map(lambda reply: texts(reply[1], 'running'))
+        return outcome.map(lambda reply: string_list(reply[1], 'running'))
 
-    async def cancel(self, request_id: str, seen: bool = True) -> None:
-        """Stop a stream.
+    async def cancel(self, request_id: str, known_running: bool = True) -> None:
+        """Cancel a stream; a failure is ignored.
 
-        A cancel can overtake the start of a stream that has not been `seen`
-        to run; it is repeated when the engine does not know the stream yet.
+        If the stream is not `known_running`, the cancel can arrive before its
+        start. It is then retried while the engine doesn't know the stream.
         """
         path = f'/v1/requests/{request_id}/cancel'
-        for _ in range(1 if seen else CANCEL_TRIES):
+        for _ in range(1 if known_running else CANCEL_ATTEMPTS):
             outcome = await self.call('POST', path)
             if isinstance(outcome, Err) or outcome.ok_value[0] != NOT_FOUND:
                 return
-            await anyio.sleep(0 if seen else CANCEL_PAUSE_S)
+            await anyio.sleep(0 if known_running else CANCEL_RETRY_DELAY_S)
 
     async def cancel_orphans(
         self,
-        own: Container[str],
+        own_ids: Container[str],
     ) -> Result[int, EndpointFailure]:
-        """Cancel every stream that is not `own`; return their number.
+        """Cancel every stream that is not in `own_ids`; return their number.
 
-        Nobody could prove which part of an orphan's text was delivered, so
-        orphans are never adopted.
+        Orphans are not adopted, because there is no proof of which part of
+        their text was delivered.
         """
         listed = await self.running_ids()
         if isinstance(listed, Err):
             return listed
-        orphans = [one for one in listed.ok_value if one not in own]
-        for request_id in orphans:
+        orphan_ids = [one for one in listed.ok_value if one not in own_ids]
+        for request_id in orphan_ids:
             await self.cancel(request_id)
-        return Ok(len(orphans))
+        return Ok(len(orphan_ids))
 
     async def cache_events(
         self,
         after: int,
     ) -> Result[list[dict[str, object]], EndpointFailure]:
-        """Return the cache events after a number."""
+        """Return the cache events with a number above `after`."""
         outcome = await self.call('GET', f'/cache_events?after={after}')
-        return outcome.map(lambda reply: rows(reply[1], 'events'))
+        return outcome.map(lambda reply: object_list(reply[1], 'events'))
 
     async def order_state(self) -> Result[dict[str, object], EndpointFailure]:
         """Return the loaded model, version, adapter and highest token."""
         outcome = await self.call('GET', '/orders')
-        return outcome.map(lambda reply: mapping(reply[1]))
+        return outcome.map(lambda reply: as_object(reply[1]))
 
-    async def give_order(self, order: Order) -> Result[None, EndpointFailure]:
-        """Hand an order to the engine and wait until it is carried out."""
+    async def execute_order(
+        self, order: Order
+    ) -> Result[None, EndpointFailure]:
+        """Send an order to the engine and wait until it is executed.
+
+        The failure is `not_run` if the call was not sent or the fencing token
+        was stale, otherwise `unknown`.
+        """
         body = orjson.dumps(
             {
                 'action': order.action,
@@ -188,17 +200,25 @@
             return outcome
         status, _ = outcome.ok_value
         if status == CONFLICT:
-            return Err(EndpointFailure('not_run', 'engine: stale token'))
-        if status >= SUCCESS_LIMIT:
+            return Err(
+                EndpointFailure(
+                    'not_run', 'engine refused a stale fencing token'
+                )
+            )
+        if status >= FIRST_REDIRECT_STATUS:
             return Err(EndpointFailure('unknown', f'engine status {status}'))
         return Ok(None)
 
     async def run(
         self,
         submit: Submit,
-        on_piece: Callable[[Piece], Awaitable[None]],
+        on_delta: Callable[[TextDelta], Awaitable[None]],
     ) -> Result[Answer, EndpointFailure]:
-        """Run one request and hand on its text as it arrives."""
+        """Run one request and pass its text to `on_delta` as it arrives.
+
+        Returns the answer without that text. A failure tells whether the
+        request may have run.
+        """
         try:
             async with self.connections.stream(
                 submit.method,
@@ -206,16 +226,19 @@
                 request_headers(submit),
                 stream_body(submit),
             ) as response:
-                if response.status >= SUCCESS_LIMIT:
-                    return await refused(response)
-                return await read_answer(response, on_piece)
-        except BROKEN as exc:
-            return Err(failure_of(exc))
+                if response.status >= FIRST_REDIRECT_STATUS:
+                    return await read_error_response(response)
+                return await read_event_stream(response, on_delta)
+        except TRANSPORT_ERRORS as exc:
+            return Err(classify_error(exc))
 
 
 def stream_body(submit: Submit) -> bytes:
-    """Return the request's body as the engine gets it."""
-    content = parse(submit.body)
+    """Return the body with the engine's stream and resume fields set.
+
+    A body that is not a JSON object is returned unchanged.
+    """
+    content = parse_json(submit.body)
     if not isinstance(content, dict):
         return submit.body
     content['stream'] = True
@@ -225,128 +248,130 @@
     return orjson.dumps(content)
 
 
-async def refused(
+async def read_error_response(
     response: httpcore.Response,
 ) -> Result[Answer, EndpointFailure]:
-    """Return the outcome of a response without a stream.
+    """Return the outcome of a response with an error status.
 
-    The protocol's 429 says that the engine did not admit the request, and
-    409 that another stream of this id runs.
+    429 means that the engine did not admit the request, and 409 that another
+    stream with this id is running. A status from 500 leaves open whether the
+    request ran; any other one is returned as the answer.
     """
     body = await read_body(response, MAX_ERROR_BYTES)
     if response.status == TOO_MANY_REQUESTS:
         return Err(EndpointFailure('not_run', 'engine is full'))
     if response.status == CONFLICT:
         return Err(EndpointFailure('not_run', 'request id is in use'))
-    if response.status >= SERVER_ERROR:
+    if response.status >= FIRST_SERVER_ERROR_STATUS:
         reason = f'engine status {response.status}'
         return Err(EndpointFailure('unknown', reason))
-    return Ok(Answer(response.status, headers_of(response), body))
+    return Ok(Answer(response.status, response_headers(response), body))
 
 
-async def read_answer(
+async def read_event_stream(
     response: httpcore.Response,
-    on_piece: Callable[[Piece], Awaitable[None]],
+    on_delta: Callable[[TextDelta], Awaitable[None]],
 ) -> Result[Answer, EndpointFailure]:
-    """Read a stream to its closing mark."""
-    progress = Progress()
+    """Read a stream up to its end marker and return the final answer.
+
+    Fails if the engine reports an error or the end marker is missing.
+    """
+    state = StreamState()
     reader = EventReader()
     stream = response.aiter_stream()
     async for raw in stream:
-        piece = Piece()
+        delta = TextDelta()
         for text in reader.feed(raw):
-            absorb(text, piece, progress)
-        if piece.text:
-            await on_piece(piece)
-        if progress.whole or progress.error:
+            apply_event(text, delta, state)
+        if delta.text:
+            await on_delta(delta)
+        if state.complete or state.error:
             break
-    if progress.error:
-        return Err(EndpointFailure('unknown', progress.error))
-    if not progress.whole:
-        reason = 'stream ended without its closing mark'
+    if state.error:
+        return Err(EndpointFailure('unknown', state.error))
+    if not state.complete:
+        reason = 'stream ended without its end marker'
         return Err(EndpointFailure('unknown', reason, broken=True))
-    await read_tail(stream)
+    await read_remaining(stream)
     return Ok(
         Answer(
             response.status,
-            headers_of(response),
-            finish_reason=progress.finish_reason,
-            prompt_tokens=progress.prompt_tokens,
-            completion_tokens=progress.completion_tokens,
+            response_headers(response),
+            finish_reason=state.finish_reason,
+            prompt_tokens=state.prompt_tokens,
+            completion_tokens=state.completion_tokens,
         )
     )
 
 
-async def read_tail(stream: AsyncIterator[bytes]) -> None:
-    """Read what follows the closing mark, so that the connection is reused."""
-    with anyio.move_on_after(TAIL_WAIT_S):
+async def read_remaining(stream: AsyncIterator[bytes]) -> None:
+    """Read the stream to its end, so that the connection can be reused."""
+    with anyio.move_on_after(REMAINING_TIMEOUT_S):
         async for _ in stream:
             continue
 
 
-def absorb(text: str, piece: Piece, progress: Progress) -> None:
-    """Add one event of the stream."""
-    if text == DONE_MARK:
-        progress.whole = True
+def apply_event(text: str, delta: TextDelta, state: StreamState) -> None:
+    """Add the data of one event to the delta and the state."""
+    if text == END_MARKER:
+        state.complete = True
         return
-    content = parse(text)
+    content = parse_json(text)
     if not isinstance(content, dict):
         return
     if content.get('error'):
-        progress.error = 'engine reported an error in the stream'
+        state.error = 'engine reported an error in the stream'
         return
-    note_usage(content.get('usage'), progress)
+    update_usage(content.get('usage'), state)
     for choice in content.get('choices') or ():
         added = choice_text(choice)
         if added:
-            piece.text += added
-            piece.tokens += 1
-        progress.finish_reason = (
-            choice.get('finish_reason') or progress.finish_reason
-        )
+            delta.text += added
+            delta.tokens += 1
+        state.finish_reason = choice.get('finish_reason') or state.finish_reason
 
 
-def note_usage(usage: object, progress: Progress) -> None:
-    """Keep the token counts of an event that has them."""
+def update_usage(usage: object, state: StreamState) -> None:
+    """Set the token counts if the event has a usage object."""
     if isinstance(usage, dict):
-        progress.prompt_tokens = number(usage, 'prompt_tokens')
-        progress.completion_tokens = number(usage, 'completion_tokens')
+        state.prompt_tokens = int_field(usage, 'prompt_tokens')
+        state.completion_tokens = int_field(usage, 'completion_tokens')
 
 
 def choice_text(choice: dict[str, Any]) -> str:
-    """Return the added text of a chat or a plain completion."""
+    """Return the new text of a chat completion or a text completion."""
     delta = choice.get('delta')
     if delta is not None:
         return delta.get('content') or ''
     return choice.get('text') or ''
 
 
-def parse(raw: bytes | str) -> object:
-    """Return JSON content, or None for anything else."""
+def parse_json(raw: bytes | str) -> object:
+    """Return the parsed content, or None if it is not valid JSON."""
     try:
         return orjson.loads(raw)
     except orjson.JSONDecodeError:
         return None
 
 
-def mapping(content: object) -> dict[str, object]:
-    """Return JSON content as an object; empty for anything else."""
+def as_object(content: object) -> dict[str, object]:
+    """Return content if it is a JSON object, otherwise an empty one."""
     return content if isinstance(content, dict) else {}
 
 
-def number(content: object, name: str) -> int:
-    """Return an integer field of an object; 0 when there is none."""
-    found = mapping(content).get(name)
+def int_field(content: object, name: str) -> int:
+    """Return an integer field of an object; 0 if it has none."""
+    found = as_object(content).get(name)
     return found if isinstance(found, int) else 0
 
 
-def texts(content: object, name: str) -> list[str]:
-    """Return a list of strings from a field of an object."""
-    found = mapping(content).get(name)
+def string_list(content: object, name: str) -> list[str]:
+    """Return a list field of an object as strings; empty if missing."""
+    found = as_object(content).get(name)
     return [str(one) for one in found] if isinstance(found, list) else []
 
 
-def rows(content: object, name: str) -> list[dict[str, object]]:
-    """Return a list of objects from a field of an object."""
-    found = mapping(content).get(name)
-    return [mapping(one) for one in found] if isinstance(found, list) else []
+def object_list(content: object, name: str) -> list[dict[str, object]]:
+    """Return a list field of an object as objects; empty if missing."""
+    found = as_object(content).get(name)
+    return [as_object(one) for one in found] if isinstance(found, list) else []
--- a/src/quetzaldyke/connection/kv_http.py
+++ b/src/quetzaldyke/connection/kv_http.py
@@ -1,6 +1,6 @@
-"""Key-value store over the JSON gateway of etcd v3.
+"""Key-value store client for the JSON gateway of etcd v3.
 
-Errors say whether a write can have been applied. A call that never got a
+Errors tell whether a write may have been applied. A call that got no
 connection is `unavailable`; a timeout or a broken connection after the
 request was sent is `unknown`.
 """
@@ -18,8 +18,8 @@
 from result import Err, Ok, Result
 
 from quetzaldyke.connection.http_client import (
-    BROKEN_CONNECTION,
-    NEVER_SENT,
+    NOT_SENT_ERRORS,
+    TRANSPORT_ERRORS,
     HttpClient,
 )
 from quetzaldyke.parts.kv import (
@@ -30,32 +30,32 @@
 )
 
 CALL_TIMEOUT_S: Final = 2.0
-# More concurrent calls wait in line for a connection.
+# Further concurrent calls are queued until a connection is free.
 MAX_CONNECTIONS: Final = 16
 MAX_WATCHES: Final = 16
 OK_STATUS: Final = 200
 NOT_FOUND_STATUS: Final = 404
-REFUSED_STATUS: Final = 400
+BAD_REQUEST_STATUS: Final = 400
 MAX_BYTE: Final = 255
 Body = dict[str, Any]
 
 
-def text_of(raw: bytes) -> str:
-    """Return bytes as the gateway expects them.
+def encode_base64(raw: bytes) -> str:
+    """Return bytes in the base64 form that the gateway expects.
 
-    >>> text_of(b'claims/1')
+    >>> encode_base64(b'claims/1')
     'Y2xhaW1zLzE='
     """
     return base64.b64encode(raw).decode()
 
 
-def bytes_of(body: Body, name: str) -> bytes:
-    """Return a bytes field; the gateway leaves out empty ones."""
+def decode_field(body: Body, name: str) -> bytes:
+    """Return a decoded bytes field; the gateway omits empty ones."""
     return base64.b64decode(body.get(name, ''))
 
 
 def prefix_end(prefix: str) -> bytes:
-    """Return the end of the range of keys with a prefix.
+    """Return the exclusive end of the range of keys with a prefix.
 
     >>> prefix_end('jobs/')
     b'jobs0'
@@ -71,22 +71,22 @@
     return b'\0'
 
 
-def record_of(kv: Body) -> Record:
-    """Return a key of an answer."""
+def parse_record(kv: Body) -> Record:
+    """Return the record of a key-value pair in a response."""
     return Record(
-        bytes_of(kv, 'key').decode(),
-        bytes_of(kv, 'value'),
+        decode_field(kv, 'key').decode(),
+        decode_field(kv, 'value'),
         int(kv['mod_revision']),
     )
 
 
 @dataclass(slots=True)
 class HttpKeyValueStore:
-    """`KeyValueStore` over HTTP; close it by `async with`."""
+    """`KeyValueStore` over HTTP; an async context manager."""
 
     address: str
     calls: HttpClient
-    # Watches hold their connections, so they don't share those of the calls.
+    # A watch occupies its connection, so watches have a client of their own.
     watches: HttpClient
     timeout_s: float = CALL_TIMEOUT_S
 
@@ -96,7 +96,7 @@
         address: str,
         timeout_s: float = CALL_TIMEOUT_S,
     ) -> HttpKeyValueStore:
-        """Return a store that connects at its first call."""
+        """Return a store that connects on its first call."""
         return cls(
             address,
             HttpClient(address, MAX_CONNECTIONS),
@@ -123,20 +123,22 @@
         await self.watches.aclose()
 
     async def get(self, key: str) -> Result[Record | None, KvError]:
-        """Read one key."""
-        answer = await self.call('kv/range', {'key': text_of(key.encode())})
-        if isinstance(answer, Err):
-            return answer
-        kvs = answer.ok_value.get('kvs') or []
-        return Ok(record_of(kvs[0]) if kvs else None)
+        """Return the record of a key, or None if it does not exist."""
+        response_body = await self.call(
+            'kv/range', {'key': encode_base64(key.encode())}
+        )
+        if isinstance(response_body, Err):
+            return response_body
+        kvs = response_body.ok_value.get('kvs') or []
+        return Ok(parse_record(kvs[0]) if kvs else None)
 
     async def list_prefix(self, prefix: str) -> Result[list[Record], KvError]:
-        """Read all keys that start with the prefix."""
-        answer = await self.call('kv/range', range_body(prefix))
-        if isinstance(answer, Err):
-            return answer
-        kvs = answer.ok_value.get('kvs') or []
-        return Ok([record_of(one) for one in kvs])
+        """Return the records of all keys with the prefix."""
+        response_body = await self.call('kv/range', range_body(prefix))
+        if isinstance(response_body, Err):
+            return response_body
+        kvs = response_body.ok_value.get('kvs') or []
+        return Ok([parse_record(one) for one in kvs])
 
     async def put_if(
         self,
@@ -145,10 +147,17 @@
         revision: int,
         lease_id: int = 0,
     ) -> Result[int, KvError]:
-        """Write if the key's revision is as given; return the new one."""
+        """Write a key if it has the given revision; return the new one.
+
+        Revision 0 means that the key must not exist. Fails with `conflict`
+        for another revision and `too_large` for a value over the limit.
+        """
         if len(value) > MAX_VALUE_BYTES:
             return Err(KvError('too_large', f'{key}: {len(value)} bytes'))
-        put: Body = {'key': text_of(key.encode()), 'value': text_of(value)}
+        put: Body = {
+            'key': encode_base64(key.encode()),
+            'value': encode_base64(value),
+        }
         if lease_id:
             put['lease'] = str(lease_id)
         return await self.transact(key, revision, {'request_put': put})
@@ -158,10 +167,10 @@
         key: str,
         revision: int,
     ) -> Result[None, KvError]:
-        """Delete if the key's revision is as given."""
-        erase = {'request_delete_range': {'key': text_of(key.encode())}}
-        answer = await self.transact(key, revision, erase)
-        return answer.map(lambda _revision: None)
+        """Delete a key if it has the given revision, else `conflict`."""
+        delete = {'request_delete_range': {'key': encode_base64(key.encode())}}
+        response_body = await self.transact(key, revision, delete)
+        return response_body.map(lambda _revision: None)
 
     async def transact(
         self,
@@ -169,39 +178,49 @@
         revision: int,
         operation: Body,
     ) -> Result[int, KvError]:
-        """Run one operation if the key's revision is as given."""
+        """Run one operation if the key has the given revision.
+
+        Returns the revision of the store, or fails with `conflict`.
+        """
         compare = {
-            'key': text_of(key.encode()),
+            'key': encode_base64(key.encode()),
             'target': 'MOD',
             'result': 'EQUAL',
             'mod_revision': str(revision),
         }
         body = {'compare': [compare], 'success': [operation], 'failure': []}
-        answer = await self.call('kv/txn', body)
-        if isinstance(answer, Err):
-            return answer
-        if not answer.ok_value.get('succeeded', False):
+        response_body = await self.call('kv/txn', body)
+        if isinstance(response_body, Err):
+            return response_body
+        if not response_body.ok_value.get('succeeded', False):
             return Err(KvError('conflict', f'{key}: not at {revision}'))
-        return Ok(int(answer.ok_value['header']['revision']))
+        return Ok(int(response_body.ok_value['header']['revision']))
 
     async def grant_lease(self, ttl_s: int) -> Result[int, KvError]:
         """Create a lease and return its id."""
-        answer = await self.call('lease/grant', {'TTL': str(ttl_s), 'ID': '0'})
-        return answer.map(lambda body: int(body['ID']))
+        response_body = await self.call(
+            'lease/grant', {'TTL': str(ttl_s), 'ID': '0'}
+        )
+        return response_body.map(lambda body: int(body['ID']))
 
     async def keep_alive(self, lease_id: int) -> Result[bool, KvError]:
-        """Extend a lease; False when it has already lapsed."""
-        answer = await self.call('lease/keepalive', {'ID': str(lease_id)})
-        return answer.map(
+        """Renew a lease; returns False if it has expired."""
+        response_body = await self.call(
+            'lease/keepalive', {'ID': str(lease_id)}
+        )
+        return response_body.map(
             lambda body: int(body.get('result', {}).get('TTL', 0)) > 0,
         )
 
     async def revoke(self, lease_id: int) -> Result[None, KvError]:
-        """End a lease and delete its keys; ended leases are no error."""
-        answer = await self.call('lease/revoke', {'ID': str(lease_id)})
-        if isinstance(answer, Err) and answer.err_value.kind == 'conflict':
+        """Revoke a lease, which deletes its keys; it may have expired."""
+        response_body = await self.call('lease/revoke', {'ID': str(lease_id)})
+        if (
+            isinstance(response_body, Err)
+            and response_body.err_value.kind == 'conflict'
+        ):
             return Ok(None)
-        return answer.map(lambda _body: None)
+        return response_body.map(lambda _body: None)
 
     async def watch(
         self,
@@ -210,8 +229,8 @@
     ) -> AsyncIterator[Change]:
         """Yield changes after a revision until the connection breaks.
 
-        Also ends when the service has discarded changes that were asked
-        for; the caller reads again and watches from there.
+        Also ends if requested changes were compacted. The caller then reads
+        the keys again and starts a new watch from that revision.
         """
         create = {
             **range_body(prefix),
@@ -225,17 +244,17 @@
                 content,
                 self.timeout_s,
             ) as response:
-                async for line in lines_of(response):
+                async for line in iter_lines(response):
                     result = json.loads(line).get('result', {})
                     if result.get('canceled', False):
                         return
                     for event in result.get('events') or ():
-                        yield change_of(event)
-        except BROKEN_CONNECTION:
+                        yield parse_change(event)
+        except TRANSPORT_ERRORS:
             return
 
     async def call(self, path: str, body: Body) -> Result[Body, KvError]:
-        """Post one call; sorts failures by what can have been applied."""
+        """Post a call; the error tells whether it may have been applied."""
         try:
             response = await self.calls.request(
                 'POST',
@@ -243,29 +262,32 @@
                 json.dumps(body).encode(),
                 self.timeout_s,
             )
-        except NEVER_SENT as exc:
+        except NOT_SENT_ERRORS as exc:
             return Err(KvError('unavailable', repr(exc)))
-        except BROKEN_CONNECTION as exc:
+        except TRANSPORT_ERRORS as exc:
             return Err(KvError('unknown', repr(exc)))
-        return read_answer(response)
+        return parse_response(response)
 
 
 def range_body(prefix: str) -> Body:
-    """Return the fields that select all keys with a prefix."""
+    """Return the request fields that select all keys with a prefix."""
     start = prefix.encode() or b'\0'
-    return {'key': text_of(start), 'range_end': text_of(prefix_end(prefix))}
+    return {
+        'key': encode_base64(start),
+        'range_end': encode_base64(prefix_end(prefix)),
+    }
 
 
-def change_of(event: Body) -> Change:
-    """Return a change of a watch."""
-    return Change(record_of(event['kv']), event.get('type') == 'DELETE')
+def parse_change(event: Body) -> Change:
+    """Return the change of a watch event."""
+    return Change(parse_record(event['kv']), event.get('type') == 'DELETE')
 
 
-def read_answer(response: httpcore.Response) -> Result[Body, KvError]:
-    """Return the body of an answer, or the error that it tells.
+def parse_response(response: httpcore.Response) -> Result[Body, KvError]:
+    """Return the body of a response, or the error that its status means.
 
-    Only errors that the service gives before it applies anything are
-    certain; all other statuses can hide an applied write.
+    Only statuses that the service returns before it applies anything prove
+    that nothing was written; any other one is `unknown`.
     """
     if response.status == OK_STATUS:
         try:
@@ -275,18 +297,18 @@
     text = response.content.decode(errors='replace')
     if response.status == NOT_FOUND_STATUS:
         return Err(KvError('conflict', text))
-    if response.status == REFUSED_STATUS:
+    if response.status == BAD_REQUEST_STATUS:
         if 'too large' in text:
             return Err(KvError('too_large', text))
         return Err(KvError('unavailable', text))
     return Err(KvError('unknown', f'{response.status} {text}'))
 
 
-async def lines_of(response: httpcore.Response) -> AsyncIterator[str]:
-    """Yield the lines of a streamed answer."""
+async def iter_lines(response: httpcore.Response) -> AsyncIterator[str]:
+    """Yield the non-empty lines of a streamed response."""
     pending = b''
-    async for part in response.aiter_stream():
-        *whole, pending = (pending + part).split(b'\n')
-        for line in whole:
+    async for chunk in response.aiter_stream():
+        *complete, pending = (pending + chunk).split(b'\n')
+        for line in complete:
             if line.strip():
                 yield line.decode()
--- a/src/quetzaldyke/connection/links.py
+++ b/src/quetzaldyke/connection/links.py
@@ -1,7 +1,7 @@
-"""Runs one peer connection: handshake, reading, writing and heartbeats.
+"""Runs peer connections: handshake, reading, writing and heartbeats.
 
-Both the dialling and the listening side use the same task for a connection;
-what a message means is decided by the handler that they pass.
+The dialing and the listening side run the same task for a connection. The
+handlers that each side passes decide what to do with a message.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 )
 from quetzaldyke.connection.peer import (
     HEARTBEAT_INTERVAL_S,
-    MISSED_INTERVALS,
+    MAX_MISSED_INTERVALS,
     HandshakeError,
     PeerClosed,
     PeerSession,
@@ -36,13 +36,15 @@
 )
 from quetzaldyke.parts.hlc import MS_IN_S, HybridClock, Stamp
 
-# A heartbeat in a write of its own costs 330 us of processor time at both
-# ends together. A process with many connections spaces them out to stay
-# under 0.8 % of a core; all its control work has 1.3 %.
+# Heartbeats that one process sends per second over all its connections. A
+# heartbeat in a separate write costs 330 us of CPU time, both ends together,
+# so this limit keeps them under 0.8 % of a core; the budget for all control
+# work is 1.3 %.
 HEARTBEATS_PER_S: Final = 25
 
-# The kernel notices an instance that vanished, whatever the interval.
-KEEPALIVE_OPTIONS: Final = (
+# With these keepalive and timeout options the kernel detects an instance that
+# vanished, regardless of the heartbeat interval.
+SOCKET_OPTIONS: Final = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 2),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1),
@@ -55,7 +57,7 @@
 OnMessage = Callable[[PeerSession, Message], Awaitable[None]]
 OnClose = Callable[[PeerSession], None]
 
-CONNECTION_FAULTS = (
+CONNECTION_ERRORS = (
     OSError,
     TimeoutError,
     FrameError,
@@ -70,7 +72,7 @@
 
 @dataclass(slots=True)
 class LinkOptions:
-    """What every connection of a process needs."""
+    """Options and handlers shared by all connections of a process."""
 
     secret: str
     clock: HybridClock
@@ -82,20 +84,20 @@
     open_sessions: int = 0
 
 
-def stamp_row(stamp: Stamp) -> list[int | str]:
-    """Return the wire form of a stamp."""
+def stamp_to_row(stamp: Stamp) -> list[int | str]:
+    """Return the wire form of a stamp: wall time, counter and process."""
     return [stamp.wall_ms, stamp.counter, stamp.process]
 
 
-def observe_row(clock: HybridClock, row: list[int | str]) -> None:
-    """Advance the clock by a stamp from the wire."""
+def observe_stamp_row(clock: HybridClock, row: list[int | str]) -> None:
+    """Advance the clock to a stamp from the wire; ignores malformed ones."""
     match row:
         case [int(wall_ms), int(counter), str(process)]:
             clock.observe(Stamp(wall_ms, counter, process))
 
 
 def heartbeat_interval_s(open_sessions: int) -> float:
-    """Return the interval that keeps heartbeats within their budget.
+    """Return the heartbeat interval that keeps within `HEARTBEATS_PER_S`.
 
     >>> heartbeat_interval_s(10), heartbeat_interval_s(130)
     (1.0, 5.2)
@@ -104,37 +106,37 @@
 
 
 def make_heartbeat(options: LinkOptions) -> Heartbeat:
-    """Return a heartbeat with the present stamp, version and interval."""
+    """Return a heartbeat with the current stamp, version and interval."""
     interval_s = heartbeat_interval_s(options.open_sessions)
     return Heartbeat(
-        stamp_row(options.clock.now()),
+        stamp_to_row(options.clock.now()),
         options.config_version(),
         int(interval_s * MS_IN_S),
     )
 
 
-def note_heartbeat(
+def handle_heartbeat(
     session: PeerSession,
     options: LinkOptions,
     heartbeat: Heartbeat,
 ) -> None:
-    """Follow the peer's clock and its announced interval."""
-    observe_row(options.clock, heartbeat.stamp)
+    """Advance the clock and set the timeout from the announced interval."""
+    observe_stamp_row(options.clock, heartbeat.stamp)
     session.peer_interval_s = heartbeat.interval_ms / MS_IN_S
-    # The peer follows this side's interval when it is the longer one.
+    # Both sides send at the longer of the two intervals.
     slower_s = max(
         session.peer_interval_s,
         heartbeat_interval_s(options.open_sessions),
     )
-    session.silence_limit_s = MISSED_INTERVALS * slower_s
+    session.silence_timeout_s = MAX_MISSED_INTERVALS * slower_s
 
 
-async def serve_session(session: PeerSession, options: LinkOptions) -> None:
-    """Run an authenticated session until it ends."""
+async def run_session(session: PeerSession, options: LinkOptions) -> None:
+    """Run an authenticated session until it is closed, broken or silent."""
     options.open_sessions += 1
     async with anyio.create_task_group() as group:
         group.start_soon(write_until_closed, session, group.cancel_scope)
-        group.start_soon(session.end_when_silent, group.cancel_scope)
+        group.start_soon(session.cancel_when_silent, group.cancel_scope)
         group.start_soon(
             session.send_heartbeats,
             lambda: make_heartbeat(options),
@@ -143,9 +145,9 @@
             await options.on_open(session)
             async for message in session.messages():
                 if isinstance(message, Heartbeat):
-                    note_heartbeat(session, options, message)
+                    handle_heartbeat(session, options, message)
                 await options.on_message(session, message)
-        except CONNECTION_FAULTS:
+        except CONNECTION_ERRORS:
             pass
         finally:
             session.closed = True
@@ -158,10 +160,10 @@
     session: PeerSession,
     scope: anyio.CancelScope,
 ) -> None:
-    """Write queued frames; a broken stream ends the session."""
+    """Write queued frames; cancels the scope if the connection fails."""
     try:
         await session.write_queued()
-    except CONNECTION_FAULTS:
+    except CONNECTION_ERRORS:
         scope.cancel()
 
 
@@ -170,7 +172,10 @@
     options: LinkOptions,
     dialer: bool,
 ) -> None:
-    """Authenticate a stream and run its session."""
+    """Authenticate a stream and run its session.
+
+    Returns without an error if the handshake fails.
+    """
     async with stream:
         try:
             session = await open_session(
@@ -179,27 +184,30 @@
                 options.make_hello(),
                 dialer,
             )
-        except CONNECTION_FAULTS:
+        except CONNECTION_ERRORS:
             return
-        observe_row(options.clock, session.remote.stamp)
-        await serve_session(session, options)
+        observe_stamp_row(options.clock, session.remote.stamp)
+        await run_session(session, options)
 
 
-def set_keepalive(stream: SocketStream) -> None:
-    """Let the kernel close connections to instances that vanished."""
+def set_socket_options(stream: SocketStream) -> None:
+    """Set `SOCKET_OPTIONS` on the socket of a connection."""
     raw = stream.extra(SocketAttribute.raw_socket)
-    for level, option, setting in KEEPALIVE_OPTIONS:
+    for level, option, setting in SOCKET_OPTIONS:
         raw.setsockopt(level, option, setting)
 
 
 async def dial(address: str, options: LinkOptions) -> bool:
-    """Connect to a peer and run the session; False when none was reached."""
+    """Connect to a peer and run the session until it ends.
+
+    Returns False if no connection could be established.
+    """
     host, _, port = address.rpartition(':')
     try:
         stream = await anyio.connect_tcp(host.strip('[]'), int(port))
     except OSError:
         return False
-    set_keepalive(stream)
+    set_socket_options(stream)
     await handle_stream(stream, options, dialer=True)
     return True
 
@@ -210,7 +218,10 @@
     *,
     task_status: TaskStatus[str] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Accept peers until cancelled; reports the bound address."""
+    """Accept peer connections until cancelled.
+
+    Reports the bound address as the task status.
+    """
     host, _, port = address.rpartition(':')
     listener = await anyio.create_tcp_listener(
         local_host=host.strip('[]'),
@@ -220,7 +231,7 @@
     task_status.started(f'{host}:{bound}')
 
     async def accept(stream: SocketStream) -> None:
-        set_keepalive(stream)
+        set_socket_options(stream)
         await handle_stream(stream, options, dialer=False)
 
     async with listener:
@@ -228,5 +239,5 @@
 
 
 def bound_port(listener: Listener[SocketStream]) -> int:
-    """Return the port that a listener got."""
+    """Return the local port of a listener."""
     return int(listener.extra(SocketAttribute.local_port))
