--- a/src/quetzaldyke/standins/faults.py
+++ b/src/quetzaldyke/standins/faults.py
@@ -53,7 +53,7 @@
         """
         if self.http is not None and request.client is not None:
             host, port = request.client
-            self.http.break_connection((host, port))
+            self.http.abort_connection((host, port))
         return Response(status_code=500)
 
     def abort_when_down(self, app: App) -> App:
