--- a/src/quetzaldyke/process/batch_part.py
+++ b/src/quetzaldyke/process/batch_part.py
@@ -19,7 +19,7 @@
 from quetzaldyke.process.batch_worker import BatchWorker, WorkerOptions
 from quetzaldyke.process.batches_http import make_batch_routes
 from quetzaldyke.process.entry_parts import EntryPart
-from quetzaldyke.process.fleet import make_reach
+from quetzaldyke.process.fleet import make_connector
 
 if TYPE_CHECKING:
     from quetzaldyke.process.entry import EntryProcess
@@ -75,7 +75,7 @@
 def make_stopper(entry: EntryProcess, worker: BatchWorker) -> JobStopper:
     """Return what sends cancels, also to sidecars outside the subset."""
     return JobStopper(
-        worker, make_reach(entry.fleet, lambda: entry.link_options)
+        worker, make_connector(entry.fleet, lambda: entry.link_options)
     )
 
 
--- a/src/quetzaldyke/process/batches_http.py
+++ b/src/quetzaldyke/process/batches_http.py
@@ -19,7 +19,7 @@
 from quetzaldyke.durable.errors import JobError
 from quetzaldyke.durable.records import FileRecord
 from quetzaldyke.durable.service import JobRequest, JobService, JobStatus
-from quetzaldyke.process.callers_gate import read_body
+from quetzaldyke.process.callers_middleware import read_body
 from quetzaldyke.request.outcome import Refusal
 
 MS_IN_S: Final = 1000
--- a/src/quetzaldyke/process/callers_http.py
+++ b/src/quetzaldyke/process/callers_http.py
@@ -27,8 +27,8 @@
     WholeResponse,
     now_s,
 )
-from quetzaldyke.process.callers_gate import (
-    Gate,
+from quetzaldyke.process.callers_middleware import (
+    AdmissionMiddleware,
     KeyIndex,
     OpenRequests,
     read_body,
@@ -382,7 +382,7 @@
     limits: Limits,
     open_requests: OpenRequests,
     more_routes: Sequence[BaseRoute],
-) -> Gate:
+) -> AdmissionMiddleware:
     """Return the callers' application."""
     app = Starlette(
         routes=[*caller_routes(context), *more_routes],
@@ -392,4 +392,6 @@
             Exception: refuse_fault,
         },
     )
-    return Gate(app, KeyIndex(context.holder), limits, open_requests)
+    return AdmissionMiddleware(
+        app, KeyIndex(context.holder), limits, open_requests
+    )
--- a/src/quetzaldyke/process/callers_gate.py
+++ b/src/quetzaldyke/process/callers_middleware.py
@@ -78,7 +78,7 @@
 
 
 @dataclass(slots=True)
-class Gate:
+class AdmissionMiddleware:
     """ASGI middleware of the callers' listener."""
 
     app: ASGIApp
--- a/src/quetzaldyke/process/config_part.py
+++ b/src/quetzaldyke/process/config_part.py
@@ -11,7 +11,7 @@
 from quetzaldyke.process.entry_parts import EntryPart
 from quetzaldyke.process.event_query import EventQueries
 from quetzaldyke.process.explain import explain
-from quetzaldyke.process.fleet import make_reach
+from quetzaldyke.process.fleet import make_connector
 from quetzaldyke.process.operators_http import (
     OperatorsContext,
     make_operators_app,
@@ -79,7 +79,7 @@
         entry.log_event,
         entry.group,
         EndpointReports(
-            entry.fleet, make_reach(entry.fleet, lambda: entry.link_options)
+            entry.fleet, make_connector(entry.fleet, lambda: entry.link_options)
         ),
         OrderCalls(entry.fleet),
     )
--- a/src/quetzaldyke/process/entry.py
+++ b/src/quetzaldyke/process/entry.py
@@ -32,16 +32,16 @@
 from quetzaldyke.parts.rendezvous import first_for
 from quetzaldyke.parts.timeline import Timeline
 from quetzaldyke.parts.timers import Clock, TimerService
-from quetzaldyke.process.callers_gate import OpenRequests
 from quetzaldyke.process.callers_http import CallersContext, callers_app
+from quetzaldyke.process.callers_middleware import OpenRequests
 from quetzaldyke.process.entry_parts import PARTS, EntryPart
 from quetzaldyke.process.entry_stop import stop_as_planned
 from quetzaldyke.process.fleet import (
     Fleet,
     Instance,
-    closed,
+    add_session,
     dispatch,
-    opened,
+    remove_session,
 )
 from quetzaldyke.process.http_listener import HttpListener, start_http
 from quetzaldyke.process.logs import LogEvent, make_log_event
@@ -188,7 +188,7 @@
         """Register a peer; a fault in a handler must not end the entry."""
         self.log_event('peer_opened', peer=session.remote.instance)
         try:
-            await opened(self.fleet, session)
+            await add_session(self.fleet, session)
         except Exception as exc:
             self.note_fault(session, 'opened', exc)
 
@@ -216,7 +216,7 @@
     def on_close(self, session: PeerSession) -> None:
         """Forget a peer and fail its requests."""
         self.log_event('peer_closed', peer=session.remote.instance)
-        closed(self.fleet, session)
+        remove_session(self.fleet, session)
 
     def on_timer_failure(self, name: str, exc: Exception) -> None:
         """Log a periodic job that failed; it runs again."""
--- a/src/quetzaldyke/process/fleet.py
+++ b/src/quetzaldyke/process/fleet.py
@@ -182,7 +182,7 @@
             link.leaving = True
 
 
-async def opened(fleet: Fleet, session: PeerSession) -> None:
+async def add_session(fleet: Fleet, session: PeerSession) -> None:
     """Register a new session of either role."""
     name = session.remote.instance
     if session.remote.role == 'sidecar':
@@ -208,7 +208,7 @@
         await handler(session)
 
 
-def closed(fleet: Fleet, session: PeerSession) -> None:
+def remove_session(fleet: Fleet, session: PeerSession) -> None:
     """Forget a session and fail its requests."""
     name = session.remote.instance
     link = fleet.link_of(session)
@@ -230,7 +230,7 @@
             return
 
 
-def apply_list(
+def apply_instance_list(
     fleet: Fleet,
     listed: list[Instance],
     group: TaskGroup,
@@ -277,7 +277,7 @@
             await anyio.sleep(REDIAL_PAUSE_S)
 
 
-def make_reach(
+def make_connector(
     fleet: Fleet,
     find_options: Callable[[], LinkOptions | None],
 ) -> Callable[[Instance], Coroutine[Any, Any, None]]:
--- a/src/quetzaldyke/process/membership.py
+++ b/src/quetzaldyke/process/membership.py
@@ -18,7 +18,7 @@
 from quetzaldyke.connection.links import LinkOptions
 from quetzaldyke.connection.messages import LeavingNotice, Message
 from quetzaldyke.connection.peer import PeerSession
-from quetzaldyke.process.fleet import Fleet, Instance, apply_list
+from quetzaldyke.process.fleet import Fleet, Instance, apply_instance_list
 from quetzaldyke.process.logs import LogEvent
 from quetzaldyke.process.settings import Address, Name
 
@@ -130,7 +130,7 @@
             replace(row, leaving=row.leaving or row.instance in self.notices)
             for row in listed.ok_value
         ]
-        apply_list(self.fleet, rows, self.group, self.options)
+        apply_instance_list(self.fleet, rows, self.group, self.options)
 
     def subscribe(self) -> None:
         """Listen to notices of entries."""
--- a/tests/batch_bed.py
+++ b/tests/batch_bed.py
@@ -405,7 +405,7 @@
         entry.wires.append(session)
         row = fleet.Instance(sidecar.name, 'sidecar', 'a', '', POOL)
         entry.fleet.instances[sidecar.name] = row
-        await fleet.opened(entry.fleet, session)  # type: ignore[arg-type]
+        await fleet.add_session(entry.fleet, session)  # type: ignore[arg-type]
         back = Wire(receiver(entry.fleet, session), hello('', 'entry'))
         sidecar.to_entry[entry.name] = back
         entry.wires.append(back)
@@ -424,7 +424,7 @@
             wire.closed = True
         gone.wires.clear()
         for link in list(gone.fleet.links.values()):
-            fleet.closed(gone.fleet, link.session)
+            fleet.remove_session(gone.fleet, link.session)
         gone.fleet.entries.clear()
         for other in self.entries.values():
             other.fleet.entries.pop(name, None)
--- a/tests/test_batch_rules.py
+++ b/tests/test_batch_rules.py
@@ -149,7 +149,7 @@
             entry.fleet.instances.pop(silent, None)
             link = entry.fleet.links.get(silent)
             if link is not None:
-                fleet.closed(entry.fleet, link.session)
+                fleet.remove_session(entry.fleet, link.session)
         await bed.finished(job_id)
         assert bed.job(job_id).state == 'cancelled'
 
--- a/tests/test_entry_requests.py
+++ b/tests/test_entry_requests.py
@@ -9,7 +9,7 @@
 from starlette.types import Message
 
 from entry_rig import KEYS, Answer, configuration, make_fleet, until
-from quetzaldyke.process import answers_http, callers_gate
+from quetzaldyke.process import answers_http, callers_middleware
 from quetzaldyke.request import execute
 from quetzaldyke.standins.engine_text import answer_text
 
@@ -332,7 +332,7 @@
 ) -> None:
     """Guards against an upload that blocks a slot or fills the memory."""
     limit_s = 0.05 if status == '408' else 60.0
-    monkeypatch.setattr(callers_gate, 'BODY_TIMEOUT_S', limit_s)
+    monkeypatch.setattr(callers_middleware, 'BODY_TIMEOUT_S', limit_s)
 
     async def scenario() -> None:
         options = {'max_body_bytes': 4096}
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -112,7 +112,7 @@
     rollout.subscribe()
 
     async def on_open(session: PeerSession) -> None:
-        await fleet_module.opened(fleet, session)
+        await fleet_module.add_session(fleet, session)
 
     async def on_message(
         session: PeerSession, message: messages.Message
@@ -126,7 +126,7 @@
         lambda: holder.version,
         on_open,
         on_message,
-        lambda session: fleet_module.closed(fleet, session),
+        lambda session: fleet_module.remove_session(fleet, session),
     )
     return Node(fleet, sync, rollout, options, group, timers)
 
@@ -180,7 +180,9 @@
     """Give every node the same instance list."""
     rows = [node.row() for node in nodes]
     for node in nodes:
-        fleet_module.apply_list(node.fleet, rows, node.group, node.options)
+        fleet_module.apply_instance_list(
+            node.fleet, rows, node.group, node.options
+        )
 
 
 Scenario = Callable[[KvStandin, Callable[..., Awaitable[Node]]], Awaitable[Any]]
