--- a/src/quetzaldyke/process/answers_http.py
+++ b/src/quetzaldyke/process/answers_http.py
@@ -1,8 +1,8 @@
-"""Renders answers for callers: whole JSON documents and SSE streams.
+"""Sends answers to callers as JSON documents or SSE streams.
 
-The status of a stream waits for its first part, so that a request that
-never started gets a plain error document. Later failures end the stream
-with an `error` event and without the closing mark.
+The status of a stream is sent with its first event, so that a request that
+fails before gets a plain error document. A later failure ends the stream
+with an `error` event and without the final `[DONE]`.
 """
 
 from __future__ import annotations
@@ -36,10 +36,11 @@
     (b'cache-control', b'no-store'),
 )
 DONE_EVENT: Final = b'data: [DONE]\n\n'
-# A caller that stops reading holds its request no longer than this after
-# the deadline.
+# Time after the deadline at which a request ends even if its caller does
+# not read the answer.
 READING_GRACE_S: Final = 5.0
-# Headers of an endpoint that speak of one hop or of the body's coding.
+# Headers of an endpoint's response that apply to one hop only or describe
+# the transfer of its body.
 DROPPED_HEADERS: Final = frozenset(
     (
         'connection',
@@ -58,20 +59,20 @@
 
 
 def encode_headers(headers: dict[str, str]) -> Headers:
-    """Return headers as ASGI sends them."""
+    """Return headers in ASGI form; replaces characters not in Latin-1."""
     return [
         (name.lower().encode('latin-1'), content.encode('latin-1', 'replace'))
         for name, content in headers.items()
     ]
 
 
-async def send_whole(
+async def send_response(
     send: Send,
     status: int,
     headers: Headers,
     body: bytes,
 ) -> None:
-    """Send a response with a known length."""
+    """Send a complete response with its content length."""
     length = (b'content-length', str(len(body)).encode())
     await send(
         {
@@ -84,17 +85,17 @@
 
 
 async def send_refusal(send: Send, refusal: Refusal, request_id: str) -> None:
-    """Send an error document."""
+    """Send a refusal as a JSON error document."""
     headers = encode_headers(
         {**refusal.headers(), 'x-request-id': request_id},
     )
     body = orjson.dumps(refusal.body(request_id))
-    await send_whole(send, refusal.status, [JSON_TYPE, *headers], body)
+    await send_response(send, refusal.status, [JSON_TYPE, *headers], body)
 
 
 @dataclass(frozen=True, slots=True)
 class ErrorResponse:
-    """ASGI response of a refusal."""
+    """ASGI response with an error document."""
 
     refusal: Refusal
     request_id: str
@@ -113,7 +114,7 @@
     receive: Receive,
     scope: anyio.CancelScope,
 ) -> None:
-    """Cancel the request's task when its caller is gone."""
+    """Cancel `scope` when the caller disconnects."""
     while True:
         message = await receive()
         if message['type'] == 'http.disconnect':
@@ -126,7 +127,10 @@
     remaining_s: float,
     work: Callable[[], Awaitable[None]],
 ) -> None:
-    """Run the sending of an answer as long as the caller reads it."""
+    """Run `work`; cancel it when the caller disconnects or at the deadline.
+
+    The deadline is `READING_GRACE_S` after the remaining time of the request.
+    """
     async with anyio.create_task_group() as group:
         deadline_s = anyio.current_time() + remaining_s + READING_GRACE_S
         group.cancel_scope.deadline = deadline_s
@@ -136,19 +140,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
-    """Fixed fields of one generation answer."""
+class AnswerFormat:
+    """Builds the JSON documents of one generation answer."""
 
     request: OnlineRequest
     created: int
 
     @property
     def chat(self) -> bool:
-        """Tell whether this is a chat answer."""
+        """Tell whether the request is a chat completion."""
         return self.request.path == CHAT_PATH
 
-    def head(self, kind: str) -> dict[str, object]:
-        """Return the fields that every document of the answer has."""
+    def common_fields(self, kind: str) -> dict[str, object]:
+        """Return the fields common to all documents of the answer."""
         return {
             'id': self.request.request_id,
             'object': kind,
@@ -156,34 +160,34 @@
             'model': self.request.model,
         }
 
-    def chunk_parts(self) -> tuple[bytes, bytes]:
-        """Return what goes before and after the text of a chunk.
+    def chunk_affixes(self) -> tuple[bytes, bytes]:
+        """Return the encoded chunk before and after its text.
 
         Only the text differs between chunks; encoding the whole document
         for each token takes several times as long.
         """
         kind = 'chat.completion.chunk' if self.chat else 'text_completion'
-        head = orjson.dumps(self.head(kind))[:-1]
+        fields = orjson.dumps(self.common_fields(kind))[:-1]
         content = b'"delta":{"content":' if self.chat else b'"text":'
         closing = b'}' if self.chat else b''
-        before = b'data: %s,"choices":[{"index":0,%s' % (head, content)
+        before = b'data: %s,"choices":[{"index":0,%s' % (fields, content)
         return before, b'%s,"finish_reason":null}]}\n\n' % closing
 
     def final_chunk(self, end: AnswerEnd) -> bytes:
-        """Return the last chunk, with the finish reason and the usage."""
+        """Return the last chunk, with the finish reason and any usage."""
         kind = 'chat.completion.chunk' if self.chat else 'text_completion'
         empty: dict[str, object] = {'delta': {}} if self.chat else {'text': ''}
         document = {
-            **self.head(kind),
+            **self.common_fields(kind),
             'choices': [
                 {'index': 0, **empty, 'finish_reason': end.finish_reason},
             ],
         }
         if self.request.include_usage:
-            document['usage'] = usage_of(end)
+            document['usage'] = token_usage(end)
         return b'data: %s\n\n' % orjson.dumps(document)
 
-    def whole(self, answer: CompleteAnswer) -> bytes:
+    def full_document(self, answer: CompleteAnswer) -> bytes:
         """Return the document of an answer that is not streamed."""
         if self.chat:
             kind = 'chat.completion'
@@ -196,15 +200,15 @@
         reason = answer.end.finish_reason
         return orjson.dumps(
             {
-                **self.head(kind),
+                **self.common_fields(kind),
                 'choices': [{'index': 0, **content, 'finish_reason': reason}],
-                'usage': usage_of(answer.end),
+                'usage': token_usage(answer.end),
             },
         )
 
 
-def usage_of(end: AnswerEnd) -> dict[str, int]:
-    """Return the token counts of an answer."""
+def token_usage(end: AnswerEnd) -> dict[str, int]:
+    """Return the `usage` object of an answer."""
     return {
         'prompt_tokens': end.prompt_tokens,
         'completion_tokens': end.completion_tokens,
@@ -213,7 +217,7 @@
 
 
 def engine_refusal(end: AnswerEnd) -> Refusal:
-    """Return the refusal of a request that the engine rejected."""
+    """Return the refusal for an engine's error, with its code and message."""
     message = f'the engine answered with status {end.status}'
     code = 'rejected'
     try:
@@ -228,28 +232,28 @@
 
 
 def error_event(refusal: Refusal, request_id: str) -> bytes:
-    """Return the SSE event that ends a broken stream."""
+    """Return the SSE event that ends a failed stream."""
     document = orjson.dumps(refusal.body(request_id))
     return b'event: error\ndata: %s\n\n' % document
 
 
 @dataclass(slots=True)
 class StreamWriter:
-    """Sends one SSE answer."""
+    """Sends one answer as an SSE stream."""
 
     send: Send
-    shape: Shape
+    answer_format: AnswerFormat
     before: bytes
     after: bytes
     started: bool = False
 
     @classmethod
-    def of(cls, send: Send, shape: Shape) -> StreamWriter:
-        """Return the writer of an answer."""
-        return cls(send, shape, *shape.chunk_parts())
+    def create(cls, send: Send, answer_format: AnswerFormat) -> StreamWriter:
+        """Return a writer that has sent nothing yet."""
+        return cls(send, answer_format, *answer_format.chunk_affixes())
 
     async def write(self, event: AnswerEvent) -> bool:
-        """Send one event; False once the answer has ended."""
+        """Send one event; return False if it ended the answer."""
         match event:
             case AnswerText(text=text):
                 await self.start()
@@ -260,7 +264,7 @@
                 await self.refuse(engine_refusal(event))
             case AnswerEnd():
                 await self.start()
-                body = self.shape.final_chunk(event) + DONE_EVENT
+                body = self.answer_format.final_chunk(event) + DONE_EVENT
                 await self.send_part(body, more=False)
             case Refusal():
                 await self.refuse(event)
@@ -269,11 +273,11 @@
         return False
 
     async def start(self) -> None:
-        """Send the status and headers once."""
+        """Send the status and headers, unless they were sent already."""
         if self.started:
             return
         self.started = True
-        request_id = self.shape.request.request_id.encode()
+        request_id = self.answer_format.request.request_id.encode()
         await self.send(
             {
                 'type': 'http.response.start',
@@ -283,14 +287,14 @@
         )
 
     async def send_part(self, body: bytes, more: bool) -> None:
-        """Send bytes of the stream."""
+        """Send a part of the body."""
         await self.send(
             {'type': 'http.response.body', 'body': body, 'more_body': more},
         )
 
     async def refuse(self, refusal: Refusal) -> None:
-        """Send an error document, or an error event in mid-stream."""
-        request_id = self.shape.request.request_id
+        """Send an error event, or an error document before the start."""
+        request_id = self.answer_format.request.request_id
         if not self.started:
             await send_refusal(self.send, refusal, request_id)
             return
@@ -301,7 +305,7 @@
 class StreamResponse:
     """ASGI response that streams a generation."""
 
-    shape: Shape
+    answer_format: AnswerFormat
     make_events: MakeEvents
     remaining_s: float
 
@@ -311,23 +315,23 @@
         receive: Receive,
         send: Send,
     ) -> None:
-        """Run the request and relay it while the caller is there."""
-        writer = StreamWriter.of(send, self.shape)
+        """Run the request and stream its answer to the caller."""
+        writer = StreamWriter.create(send, self.answer_format)
 
-        async def relay() -> None:
+        async def stream_answer() -> None:
             events = self.make_events()
-            async with aclosing(events) as opened:  # type: ignore[type-var]
-                async for event in opened:
+            async with aclosing(events) as stream:  # type: ignore[type-var]
+                async for event in stream:
                     if not await writer.write(event):
                         return
             await writer.refuse(incomplete('the answer has no end mark'))
 
-        await run_until_disconnect(receive, self.remaining_s, relay)
+        await run_until_disconnect(receive, self.remaining_s, stream_answer)
 
 
 @dataclass(frozen=True, slots=True)
-class WholeResponse:
-    """ASGI response with a whole answer of a model or a plain service."""
+class CompleteResponse:
+    """ASGI response with a complete answer of a model or plain service."""
 
     request: OnlineRequest
     make_events: MakeEvents
@@ -352,7 +356,7 @@
         send: Send,
         answer: CompleteAnswer | Refusal,
     ) -> None:
-        """Send the answer in the form of the endpoint's kind."""
+        """Send a refusal, a service's response or a generation document."""
         request_id = self.request.request_id
         if isinstance(answer, Refusal):
             await send_refusal(send, answer, request_id)
@@ -363,9 +367,9 @@
         if answer.end.status >= HTTP_BAD_REQUEST:
             await send_refusal(send, engine_refusal(answer.end), request_id)
             return
-        body = Shape(self.request, now_s()).whole(answer)
-        marker = (b'x-request-id', request_id.encode())
-        await send_whole(send, HTTP_OK, [JSON_TYPE, marker], body)
+        body = AnswerFormat(self.request, unix_time_s()).full_document(answer)
+        id_header = (b'x-request-id', request_id.encode())
+        await send_response(send, HTTP_OK, [JSON_TYPE, id_header], body)
 
 
 async def send_service_answer(
@@ -373,14 +377,14 @@
     answer: CompleteAnswer,
     request_id: str,
 ) -> None:
-    """Send a plain service's answer as it is."""
+    """Send a plain service's response unchanged but for its headers."""
     headers = {
         name: content
         for name, content in answer.end.headers.items()
         if name.lower() not in DROPPED_HEADERS
     }
     headers['x-request-id'] = request_id
-    await send_whole(
+    await send_response(
         send,
         answer.end.status,
         encode_headers(headers),
@@ -388,6 +392,6 @@
     )
 
 
-def now_s() -> int:
-    """Return the wall time for the `created` field."""
+def unix_time_s() -> int:
+    """Return the Unix time in seconds, for the `created` field."""
     return int(time.time())
--- a/src/quetzaldyke/process/callers_http.py
+++ b/src/quetzaldyke/process/callers_http.py
@@ -1,7 +1,7 @@
-"""Callers' HTTP: generation, models and plain services.
+"""Callers' HTTP routes for generation, models and plain services.
 
-Routes build one `OnlineRequest` each and hand it to the request layer;
-files and batches are plugged in by their own module.
+Each route builds one `OnlineRequest` and passes it to the request layer.
+The routes of files and batches are added by another module.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 from quetzaldyke.process.answers_http import (
     ErrorResponse,
     MakeEvents,
-    Shape,
+    AnswerFormat,
     StreamResponse,
-    WholeResponse,
-    now_s,
+    CompleteResponse,
+    unix_time_s,
 )
 from quetzaldyke.process.callers_middleware import (
     AdmissionMiddleware,
@@ -53,17 +53,18 @@
 from quetzaldyke.request.prefixes import prefix_hashes, prompt_of
 from quetzaldyke.request.router import ConfigurationHolder
 
-HTTP_SERVER_FAULT: Final = 500
+HTTP_INTERNAL_ERROR: Final = 500
 COMPLETIONS_PATH: Final = '/v1/completions'
 SERVICES_PREFIX: Final = '/services/'
 METHODS: Final = ('GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE', 'POST', 'PATCH')
 IDEMPOTENT_METHODS: Final = frozenset(
     ('GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE'),
 )
-# The longest deadline that a caller may ask for.
+# Longest timeout that a caller may request: one hour.
 MAX_TIMEOUT_MS: Final = 3_600_000
-# Headers of one hop, and the caller's credentials, which no endpoint needs.
-NOT_FORWARDED: Final = frozenset(
+# Hop-by-hop headers, the caller's credentials, which no endpoint needs, and
+# options for the entry alone.
+UNFORWARDED_HEADERS: Final = frozenset(
     (
         'authorization',
         'connection',
@@ -85,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallersContext:
-    """What the callers' routes need."""
+    """Dependencies of the callers' routes."""
 
     settings: EntrySettings
     clock: Clock
@@ -93,8 +94,8 @@
     execute: ExecuteContext
     once: OnceContext
 
-    def events_of(self, request: OnlineRequest) -> MakeEvents:
-        """Return how a request is run."""
+    def event_source(self, request: OnlineRequest) -> MakeEvents:
+        """Return what runs a request, at most once unless idempotent."""
         if request.idempotent:
             return lambda: execute_online(self.execute, request)
         return lambda: execute_once(self.once, request)
@@ -102,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallOptions:
-    """What a caller's headers say of a request."""
+    """Options that a caller sets in the headers of a request."""
 
     deadline_s: float
     idempotent: bool
@@ -110,12 +111,12 @@
 
 
 def unprocessable(code: str, message: str) -> Refusal:
-    """Return the refusal of a request that can't be understood."""
+    """Return the refusal of a request with invalid content."""
     return Refusal(HTTP_UNPROCESSABLE, code, message, 'not_run')
 
 
 def not_found(message: str) -> Refusal:
-    """Return the refusal of something that does not exist."""
+    """Return the refusal of a request for something that does not exist."""
     return Refusal(HTTP_NOT_FOUND, 'not_found', message, 'not_run')
 
 
@@ -123,7 +124,7 @@
     text: str | None,
     default_ms: int,
 ) -> Result[int, Refusal]:
-    """Return the caller's timeout."""
+    """Return the caller's timeout or the default; a refusal if invalid."""
     if text is None:
         return Ok(default_ms)
     if not text.isdecimal() or not 0 < int(text) <= MAX_TIMEOUT_MS:
@@ -137,7 +138,7 @@
     http: Request,
     idempotent_by_default: bool,
 ) -> Result[CallOptions, Refusal]:
-    """Return the options in the headers of a request."""
+    """Return the options in a request's headers; a refusal if invalid."""
     default_ms = int(context.settings.request_timeout_s * MS_IN_S)
     timeout = read_timeout_ms(
         http.headers.get('x-request-timeout-ms'),
@@ -158,20 +159,20 @@
     )
 
 
-def forwarded(http: Request) -> dict[str, str]:
-    """Return the headers that go on to the endpoint."""
+def forwarded_headers(http: Request) -> dict[str, str]:
+    """Return the headers that are forwarded to the endpoint."""
     return {
         name: content
         for name, content in http.headers.items()
-        if name not in NOT_FORWARDED
+        if name not in UNFORWARDED_HEADERS
     }
 
 
 def pool_of_model(holder: ConfigurationHolder, model: str) -> str | None:
-    """Return the engine pool that a caller's model names.
+    """Return the engine pool for a caller's `model`; None if there is none.
 
-    The name of the pool goes first; a model name finds the first pool that
-    serves it.
+    A pool with this name takes precedence over the first pool that serves
+    a model with this name.
     """
     pools = holder.current.pools
     named = pools.get(model)
@@ -190,9 +191,9 @@
     raw: bytes,
     options: CallOptions,
 ) -> OnlineRequest:
-    """Return the request of a generation route."""
+    """Build the request of a generation route."""
     path = http.url.path
-    wanted = body.stream_options
+    usage_options = body.stream_options
     return OnlineRequest(
         request_id=http.state.request_id,
         organisation=http.state.organisation,
@@ -200,7 +201,7 @@
         kind='engine',
         method='POST',
         path=path,
-        headers=forwarded(http),
+        headers=forwarded_headers(http),
         body=raw,
         stream=body.stream,
         idempotent=options.idempotent,
@@ -209,7 +210,7 @@
         idempotency_key=options.idempotency_key,
         model=body.model,
         prefixes=prefix_hashes(prompt_of(body)),
-        include_usage=wanted is not None and wanted.include_usage,
+        include_usage=usage_options is not None and usage_options.include_usage,
     )
 
 
@@ -217,7 +218,7 @@
     context: CallersContext,
     http: Request,
 ) -> Result[OnlineRequest, Refusal]:
-    """Read and check a generation request."""
+    """Read a generation request; return a refusal if it is invalid."""
     read = await read_body(
         http.receive,
         http.headers,
@@ -235,26 +236,26 @@
         return Err(not_found(f'no pool serves the model {body.model!r}'))
     options = read_options(context, http, idempotent_by_default=True)
     return options.map(
-        lambda found: generation_request(http, pool, body, raw, found),
+        lambda valid: generation_request(http, pool, body, raw, valid),
     )
 
 
 async def generate(context: CallersContext, http: Request) -> ASGIApp:
-    """Answer `/v1/chat/completions` and `/v1/completions`."""
+    """Handle `/v1/chat/completions` and `/v1/completions`."""
     prepared = await prepare_generation(context, http)
     if isinstance(prepared, Err):
         return ErrorResponse(prepared.err_value, http.state.request_id)
     request = prepared.ok_value
-    make_events = context.events_of(request)
+    make_events = context.event_source(request)
     remaining_s = request.deadline_s - context.clock.now()
     if request.stream:
-        shape = Shape(request, now_s())
-        return StreamResponse(shape, make_events, remaining_s)
-    return WholeResponse(request, make_events, remaining_s)
+        answer_format = AnswerFormat(request, unix_time_s())
+        return StreamResponse(answer_format, make_events, remaining_s)
+    return CompleteResponse(request, make_events, remaining_s)
 
 
 async def list_models(context: CallersContext, http: Request) -> ASGIApp:
-    """Answer `/v1/models` with the engine pools."""
+    """Handle `/v1/models`: list the engine pools."""
     names = [
         name
         for name, pool in context.holder.current.pools.items()
@@ -272,7 +273,7 @@
 
 
 def service_path(scope: Scope) -> str:
-    """Return the path and query as the service gets them, still encoded."""
+    """Return the encoded path and query for the service, without prefix."""
     raw = scope['raw_path'].decode('ascii')
     _, _, _, *rest = raw.split('/', 3)
     path = f'/{rest[0]}' if rest else '/'
@@ -284,10 +285,10 @@
     context: CallersContext,
     http: Request,
 ) -> Result[OnlineRequest, Refusal]:
-    """Read and check a request to a plain service."""
+    """Read a request to a plain service; return a refusal if invalid."""
     pool = http.path_params['pool']
-    found = context.holder.current.pools.get(pool)
-    if found is None or found.kind != 'service':
+    service = context.holder.current.pools.get(pool)
+    if service is None or service.kind != 'service':
         return Err(not_found(f'there is no service {pool!r}'))
     read = await read_body(
         http.receive,
@@ -308,7 +309,7 @@
             kind='service',
             method=http.method,
             path=path,
-            headers=forwarded(http),
+            headers=forwarded_headers(http),
             body=read.ok_value,
             stream=False,
             idempotent=options.ok_value.idempotent,
@@ -324,26 +325,26 @@
 
 
 async def call_service(context: CallersContext, http: Request) -> ASGIApp:
-    """Answer `/services/{pool}/{path}`."""
+    """Handle `/services/{pool}/{path}`."""
     prepared = await prepare_service(context, http)
     if isinstance(prepared, Err):
         return ErrorResponse(prepared.err_value, http.state.request_id)
     request = prepared.ok_value
     remaining_s = request.deadline_s - context.clock.now()
-    return WholeResponse(request, context.events_of(request), remaining_s)
+    return CompleteResponse(request, context.event_source(request), remaining_s)
 
 
-async def refuse_unknown(http: Request, _: Exception) -> Response:
-    """Answer an unknown path or method."""
+async def not_found_response(http: Request, _: Exception) -> Response:
+    """Return the response to an unknown path or method."""
     refusal = not_found(f'{http.method} {http.url.path} does not exist')
     document = refusal.body(http.state.request_id)
     return JSONResponse(document, refusal.status)
 
 
-async def refuse_fault(http: Request, exc: Exception) -> Response:
-    """Answer a request whose handling failed inside the entry."""
+async def internal_error_response(http: Request, exc: Exception) -> Response:
+    """Return the response to a request whose handler raised."""
     refusal = Refusal(
-        HTTP_SERVER_FAULT,
+        HTTP_INTERNAL_ERROR,
         'internal_fault',
         f'the entry failed: {type(exc).__name__}',
         'unknown',
@@ -383,13 +384,13 @@
     open_requests: OpenRequests,
     more_routes: Sequence[BaseRoute],
 ) -> AdmissionMiddleware:
-    """Return the callers' application."""
+    """Return the callers' application, wrapped in the admission."""
     app = Starlette(
         routes=[*caller_routes(context), *more_routes],
         exception_handlers={
-            404: refuse_unknown,
-            405: refuse_unknown,
-            Exception: refuse_fault,
+            404: not_found_response,
+            405: not_found_response,
+            Exception: internal_error_response,
         },
     )
     return AdmissionMiddleware(
--- a/src/quetzaldyke/process/callers_middleware.py
+++ b/src/quetzaldyke/process/callers_middleware.py
@@ -1,8 +1,7 @@
-"""What every caller's request passes first: key, limits and counting.
+"""Authenticates, limits and counts all requests of callers.
 
-It is plain ASGI around the routes, so that the routes of batches and files
-are covered in the same way. Routes find the organisation and the request id
-in `request.state`.
+This is ASGI middleware, so that the routes of batches and files are covered
+too. Routes find the organisation and the request id in `request.state`.
 """
 
 from __future__ import annotations
@@ -33,45 +32,46 @@
 IDEMPOTENCY_HEADER: Final = 'idempotency-key'
 RETRY_AFTER_MS: Final = 1000
 BEARER: Final = 'bearer '
-# A caller that sends slower than this holds a place of its organisation.
+# A request counts towards its organisation's concurrency limit while its
+# body arrives, so the time for that is limited.
 BODY_TIMEOUT_S: Final = 30.0
 
 
 @dataclass(slots=True)
 class KeyIndex:
-    """Organisations by the hash of their key, for one configuration."""
+    """Index of organisations by key hash, rebuilt for each configuration."""
 
     holder: ConfigurationHolder
-    source: Configuration | None = None
-    names: dict[str, str] = field(default_factory=dict)
+    indexed_configuration: Configuration | None = None
+    names_by_hash: dict[str, str] = field(default_factory=dict)
 
     @property
-    def known(self) -> bool:
-        """Tell whether the entry has a configuration with organisations."""
+    def has_organisations(self) -> bool:
+        """Tell whether the current configuration lists any organisation."""
         return bool(self.holder.current.organisations)
 
-    def find(self, key: str) -> str | None:
-        """Return the organisation of a bearer key."""
+    def find_organisation(self, key: str) -> str | None:
+        """Return the organisation with this bearer key; None if unknown."""
         current = self.holder.current
-        if current is not self.source:
-            self.source = current
-            self.names = {
+        if current is not self.indexed_configuration:
+            self.indexed_configuration = current
+            self.names_by_hash = {
                 organisation.key_sha256: name
                 for name, organisation in current.organisations.items()
             }
         digest = hash_key(key)
-        name = self.names.get(digest)
+        name = self.names_by_hash.get(digest)
         if name is None:
             return None
-        # The lookup already compared digests; this keeps the last step
-        # free of timing that depends on the key.
+        # The lookup already compared the digests; the time of this last
+        # comparison does not depend on the key.
         expected = current.organisations[name].key_sha256
         return name if hmac.compare_digest(expected, digest) else None
 
 
 @dataclass(slots=True)
 class OpenRequests:
-    """Requests of callers that are not yet answered."""
+    """Number of unanswered requests, and whether the entry shuts down."""
 
     count: int = 0
     closing: bool = False
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True)
 class AdmissionMiddleware:
-    """ASGI middleware of the callers' listener."""
+    """ASGI middleware that admits requests on the callers' listener."""
 
     app: ASGIApp
     keys: KeyIndex
@@ -92,13 +92,13 @@
         receive: Receive,
         send: Send,
     ) -> None:
-        """Admit one request and count it until it is answered."""
+        """Handle one request and count it as open until it is answered."""
         if scope['type'] != 'http':
             await self.app(scope, receive, send)
             return
         self.open_requests.count += 1
         try:
-            await self.admit(scope, receive, self.closing_send(send))
+            await self.admit(scope, receive, self.send_with_close(send))
         finally:
             self.open_requests.count -= 1
 
@@ -108,16 +108,20 @@
         receive: Receive,
         send: Send,
     ) -> None:
-        """Check the key and the limits, then run the route."""
+        """Run the route, or refuse an unknown key or a reached limit."""
         request_id = new_request_id()
-        name = self.keys.find(bearer_of(scope))
+        name = self.keys.find_organisation(bearer_key(scope))
         if name is None:
-            refusal = unauthorized() if self.keys.known else not_ready()
-            await send_refusal(send, of_resend(refusal, scope), request_id)
+            refusal = (
+                unauthorized() if self.keys.has_organisations else not_ready()
+            )
+            await send_refusal(
+                send, mark_possible_resend(refusal, scope), request_id
+            )
             return
         admitted = self.limits.admit(name)
         if isinstance(admitted, Err):
-            refusal = of_resend(admitted.err_value, scope)
+            refusal = mark_possible_resend(admitted.err_value, scope)
             await send_refusal(send, refusal, request_id)
             return
         state = scope.setdefault('state', {})
@@ -128,36 +132,36 @@
         finally:
             self.limits.release(name)
 
-    def closing_send(self, send: Send) -> Send:
-        """Return a `send` that ends the connection during a planned stop.
+    def send_with_close(self, send: Send) -> Send:
+        """Return a `send` that adds `Connection: close` during a shutdown.
 
-        A caller that keeps the connection open would otherwise send its
-        next request into the closing of it.
+        A caller that keeps the connection open could otherwise send its
+        next request just when the entry closes the connection.
         """
 
-        async def send_closing(message: Message) -> None:
+        async def send_message(message: Message) -> None:
             is_start = message['type'] == 'http.response.start'
             if is_start and self.open_requests.closing:
                 close = (b'connection', b'close')
                 message['headers'] = [*message.get('headers', ()), close]
             await send(message)
 
-        return send_closing
+        return send_message
 
 
-def bearer_of(scope: Scope) -> str:
-    """Return the bearer key of a request; empty when there is none."""
+def bearer_key(scope: Scope) -> str:
+    """Return the bearer key of a request; empty if there is none."""
     text = Headers(scope=scope).get('authorization', '')
     if not text.lower().startswith(BEARER):
         return ''
     return text[len(BEARER) :].strip()
 
 
-def of_resend(refusal: Refusal, scope: Scope) -> Refusal:
-    """Return what a refusal says of a request that may be a resend.
+def mark_possible_resend(refusal: Refusal, scope: Scope) -> Refusal:
+    """Return the refusal with `ran` unknown if the request may be a resend.
 
-    An earlier attempt under the same idempotency key may have run, and the
-    claims that would tell are not read here.
+    An earlier attempt under the same idempotency key may have run. The
+    claims would tell, but they are not read here.
     """
     if IDEMPOTENCY_HEADER not in Headers(scope=scope):
         return refusal
@@ -165,7 +169,7 @@
 
 
 def not_ready() -> Refusal:
-    """Return the refusal of an entry that has no configuration yet."""
+    """Return the refusal while the entry has no configuration."""
     return Refusal(
         HTTP_UNAVAILABLE,
         'not_ready',
@@ -190,35 +194,38 @@
     headers: Headers,
     limit_bytes: int,
 ) -> Result[bytes, Refusal]:
-    """Read a body, or refuse it as soon as it is too large or too slow."""
+    """Return a body, or a refusal if it is too large, late or incomplete.
+
+    A body that is too large is refused without reading the rest.
+    """
     with anyio.move_on_after(BODY_TIMEOUT_S):
-        return await read_within(receive, headers, limit_bytes)
-    return Err(too_slow())
+        return await read_limited(receive, headers, limit_bytes)
+    return Err(body_timed_out())
 
 
-async def read_within(
+async def read_limited(
     receive: Receive,
     headers: Headers,
     limit_bytes: int,
 ) -> Result[bytes, Refusal]:
-    """Read a body without a time limit."""
+    """Return a body, or a refusal if it is too large or incomplete."""
     declared = headers.get('content-length', '')
     if declared.isdecimal() and int(declared) > limit_bytes:
-        return Err(too_large(limit_bytes))
+        return Err(body_too_large(limit_bytes))
     body = bytearray()
     more = True
     while more:
         message = await receive()
         if message['type'] == 'http.disconnect':
-            return Err(broken_off())
+            return Err(body_cut_short())
         body += message.get('body', b'')
         more = message.get('more_body', False)
         if len(body) > limit_bytes:
-            return Err(too_large(limit_bytes))
+            return Err(body_too_large(limit_bytes))
     return Ok(bytes(body))
 
 
-def too_large(limit_bytes: int) -> Refusal:
+def body_too_large(limit_bytes: int) -> Refusal:
     """Return the refusal of a body over the limit."""
     return Refusal(
         HTTP_TOO_LARGE,
@@ -228,8 +235,8 @@
     )
 
 
-def too_slow() -> Refusal:
-    """Return the refusal of a body that arrives too slowly."""
+def body_timed_out() -> Refusal:
+    """Return the refusal of a body that exceeds `BODY_TIMEOUT_S`."""
     return Refusal(
         HTTP_REQUEST_TIMEOUT,
         'body_timeout',
@@ -238,8 +245,8 @@
     )
 
 
-def broken_off() -> Refusal:
-    """Return the refusal of a body that did not arrive whole."""
+def body_cut_short() -> Refusal:
+    """Return the refusal of a body cut short by a closed connection."""
     return Refusal(
         HTTP_BAD_REQUEST,
         'body_incomplete',
--- a/src/quetzaldyke/process/operators_http.py
+++ b/src/quetzaldyke/process/operators_http.py
@@ -1,7 +1,7 @@
-"""Operators' HTTP interface of an entry.
+"""Operators' HTTP routes: health, metrics, configuration, fleet and events.
 
-Health checks need no key, since the platform's balancer makes them. All
-other paths need the operators' bearer key, which is separate from callers'.
+Health checks need no key, since the platform's load balancer makes them.
+All other paths need the operators' bearer key; callers have other keys.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 UNPROCESSABLE: Final = 422
 UNAVAILABLE: Final = 503
 
-STATUS_OF: Final[dict[PatchErrorKind, int]] = {
+STATUS_BY_ERROR_KIND: Final[dict[PatchErrorKind, int]] = {
     'stale': CONFLICT,
     'too_old': CONFLICT,
     'reused': UNPROCESSABLE,
@@ -59,9 +59,10 @@
     'unavailable': UNAVAILABLE,
     'unknown': UNAVAILABLE,
 }
-# What a refusal says of the patch. `unavailable` says nothing about earlier
-# sends of the same patch, since the history could not be read.
-ACCEPTED_BY: Final[dict[PatchErrorKind, str]] = {
+# The `accepted` field of a failed patch; 'no' for all other kinds. The value
+# for `unavailable` leaves open whether an earlier submission of the same
+# patch was accepted, since the history could not be read.
+ACCEPTED_BY_ERROR_KIND: Final[dict[PatchErrorKind, str]] = {
     'unknown': 'unknown',
     'too_old': 'unknown',
     'unavailable': 'not by this request',
@@ -79,22 +80,22 @@
 
 
 class FleetVersions(Protocol):
-    """What the interface asks of the spread of versions."""
+    """Configuration versions that the processes of the fleet report."""
 
     def reported_version(self, instance: str) -> int | None:
-        """Return the version that a process last reported."""
+        """Return a process's last reported version; None if it has none."""
 
     async def wait_for_rollout(
         self,
         version: int,
         timeout_s: float,
     ) -> list[str]:
-        """Return the live processes that lack a version at the time-out."""
+        """Wait; return the live processes without the version at the end."""
 
 
 @dataclass(slots=True)
 class OperatorsContext:
-    """What the interface needs of its process."""
+    """Dependencies of the operators' routes."""
 
     operator_key: str
     holder: ConfigHolder
@@ -103,27 +104,29 @@
     metrics: Metrics
     versions: FleetVersions
     log_event: LogEvent
-    # Reason why the process is not ready; empty when it is.
+    # Returns why the process is not ready; empty if it is ready.
     unready_reason: Callable[[], str]
     gather_events: Callable[[str, int], Awaitable[list[Event]]]
     explain: Callable[[str], Awaitable[str]]
-    # Called with a value read on the way, so that it is in force at once.
+    # Called with each head that a route reads, to apply it at once.
     on_head: Callable[[Head], None] = field(default=lambda head: None)
 
 
-Endpoint = Callable[[OperatorsContext, Request], Awaitable[Response]]
+RouteHandler = Callable[[OperatorsContext, Request], Awaitable[Response]]
 
 
 def make_operators_app(context: OperatorsContext) -> Starlette:
-    """Return the application."""
+    """Return the operators' application with its key check."""
 
-    def route(path: str, endpoint: Endpoint, method: str = 'GET') -> Route:
-        async def guarded(request: Request) -> Response:
+    def operator_route(
+        path: str, handler: RouteHandler, method: str = 'GET'
+    ) -> Route:
+        async def check_key_and_handle(request: Request) -> Response:
             if not has_key(request, context.operator_key):
-                return error(UNAUTHORIZED, 'unauthorized', 'wrong key')
-            return await endpoint(context, request)
+                return error_response(UNAUTHORIZED, 'unauthorized', 'wrong key')
+            return await handler(context, request)
 
-        return Route(path, guarded, methods=[method])
+        return Route(path, check_key_and_handle, methods=[method])
 
     async def healthz(request: Request) -> Response:
         return PlainTextResponse('ok\n')
@@ -137,37 +140,39 @@
         routes=[
             Route('/healthz', healthz),
             Route('/readyz', readyz),
-            route('/metrics', get_metrics),
-            route('/config', get_config),
-            route('/config/patches', post_patch, 'POST'),
-            route('/config/wait', get_wait),
-            route('/config/history', get_history),
-            route('/fleet', get_fleet),
-            route('/events', get_events),
-            route('/explain/{subject}', get_explanation),
+            operator_route('/metrics', get_metrics),
+            operator_route('/config', get_config),
+            operator_route('/config/patches', post_patch, 'POST'),
+            operator_route('/config/wait', get_wait),
+            operator_route('/config/history', get_history),
+            operator_route('/fleet', get_fleet),
+            operator_route('/events', get_events),
+            operator_route('/explain/{subject}', get_explanation),
         ],
     )
 
 
 def has_key(request: Request, key: str) -> bool:
-    """Tell whether the request carries the operators' key."""
+    """Tell whether the request has the operators' bearer key."""
     given = request.headers.get('authorization', '')
     return hmac.compare_digest(given.encode(), f'Bearer {key}'.encode())
 
 
-def error(
+def error_response(
     status: int,
     code: str,
     message: str,
     **more: object,
 ) -> JSONResponse:
-    """Return an error response."""
-    told = {'code': code, 'message': message, **more}
-    return JSONResponse({'error': told}, status)
+    """Return a JSON error response; `more` adds fields to it."""
+    content = {'code': code, 'message': message, **more}
+    return JSONResponse({'error': content}, status)
 
 
-def number_of(request: Request, name: str, default: float) -> float | None:
-    """Return a number of the query; None when it is not one."""
+def number_parameter(
+    request: Request, name: str, default: float
+) -> float | None:
+    """Return a query parameter as a number; None if it is not a number."""
     try:
         return float(request.query_params.get(name, default))
     except ValueError:
@@ -175,12 +180,12 @@
 
 
 async def get_metrics(context: OperatorsContext, request: Request) -> Response:
-    """Answer with all metrics."""
+    """Return all metrics in the text exposition format."""
     return PlainTextResponse(context.metrics.render())
 
 
 async def get_config(context: OperatorsContext, request: Request) -> Response:
-    """Answer with the configuration in force in this process."""
+    """Return the configuration that this process has applied."""
     holder = context.holder
     return JSONResponse(
         {
@@ -191,13 +196,16 @@
 
 
 async def post_patch(context: OperatorsContext, request: Request) -> Response:
-    """Accept a patch, or say why not and whether it may be in force."""
+    """Submit a patch; return its version or why it is not accepted.
+
+    An error also says whether the patch may have been accepted anyway.
+    """
     try:
         body = PatchBody.model_validate_json(await request.body())
     except ModelError as exc:
         findings = exc.errors(include_input=False, include_url=False)
-        messages = [f'{one["loc"]}: {one["msg"]}' for one in findings]
-        return error(BAD_REQUEST, 'malformed', '; '.join(messages))
+        messages = [f'{item["loc"]}: {item["msg"]}' for item in findings]
+        return error_response(BAD_REQUEST, 'malformed', '; '.join(messages))
     outcome = await submit_patch(
         context.store,
         body.base_version,
@@ -210,7 +218,7 @@
         failure = outcome.err_value
         if failure.head is not None:
             context.on_head(failure.head)
-        return patch_refusal(failure)
+        return patch_error_response(failure)
     accepted = outcome.ok_value
     context.on_head(accepted.head)
     return JSONResponse(
@@ -223,29 +231,29 @@
     body: PatchBody,
     outcome: Result[Accepted, PatchError],
 ) -> None:
-    """Log what became of a patch."""
-    told = 'accepted' if outcome.is_ok() else outcome.unwrap_err().kind
+    """Log the outcome of a patch."""
+    result = 'accepted' if outcome.is_ok() else outcome.unwrap_err().kind
     accepted = outcome.ok()
     context.log_event(
         'config_patch',
         patch_id=body.patch_id,
         base_version=body.base_version,
-        outcome=told,
+        outcome=result,
         version=accepted.version if accepted else '',
     )
 
 
-def patch_refusal(failure: PatchError) -> JSONResponse:
-    """Return the response for a patch that is not known to be accepted."""
+def patch_error_response(failure: PatchError) -> JSONResponse:
+    """Return the error response of a patch not known to be accepted."""
     more: dict[str, object] = {
-        'accepted': ACCEPTED_BY.get(failure.kind, 'no'),
+        'accepted': ACCEPTED_BY_ERROR_KIND.get(failure.kind, 'no'),
     }
     if failure.head is not None:
         more['version'] = failure.head.version
     if failure.findings is not None:
         more['findings'] = [str(one) for one in failure.findings.findings]
-    return error(
-        STATUS_OF[failure.kind],
+    return error_response(
+        STATUS_BY_ERROR_KIND[failure.kind],
         failure.kind,
         failure.detail,
         **more,
@@ -253,11 +261,13 @@
 
 
 async def get_wait(context: OperatorsContext, request: Request) -> Response:
-    """Answer once every live process has a version, or at the time-out."""
-    version = number_of(request, 'version', context.holder.version)
-    timeout_s = number_of(request, 'timeout_s', DEFAULT_WAIT_S)
+    """Wait until every live process has a version or the time is over."""
+    version = number_parameter(request, 'version', context.holder.version)
+    timeout_s = number_parameter(request, 'timeout_s', DEFAULT_WAIT_S)
     if version is None or timeout_s is None:
-        return error(BAD_REQUEST, 'malformed', 'version must be a number')
+        return error_response(
+            BAD_REQUEST, 'malformed', 'version must be a number'
+        )
     behind = await context.versions.wait_for_rollout(
         int(version),
         min(max(timeout_s, 0), MAX_WAIT_S),
@@ -272,11 +282,11 @@
 
 
 async def get_history(context: OperatorsContext, request: Request) -> Response:
-    """Answer with the latest patches, oldest first."""
+    """Return the latest patches from the store, oldest first."""
     answer = await read_head(context.store)
     if answer.is_err():
         failure = answer.unwrap_err()
-        return error(UNAVAILABLE, failure.kind, failure.detail)
+        return error_response(UNAVAILABLE, failure.kind, failure.detail)
     head = answer.unwrap()
     context.on_head(head)
     return JSONResponse(
@@ -288,7 +298,7 @@
 
 
 def patch_row(patch: AppliedPatch) -> dict[str, object]:
-    """Return the shown form of a patch."""
+    """Return the JSON form of a patch."""
     return {
         'version': patch.version,
         'patch_id': patch.patch_id,
@@ -299,7 +309,7 @@
 
 
 async def get_fleet(context: OperatorsContext, request: Request) -> Response:
-    """Answer with every listed process and what it last reported."""
+    """Return every listed process and its last report."""
     fleet = context.fleet
     listed = {fleet.own.instance: fleet.own, **fleet.instances}
     rows = [instance_row(context, listed[name]) for name in sorted(listed)]
@@ -310,7 +320,7 @@
     context: OperatorsContext,
     instance: Instance,
 ) -> dict[str, object]:
-    """Return the shown form of one process."""
+    """Return the JSON form of a process."""
     link = context.fleet.links.get(instance.instance)
     row: dict[str, object] = {
         'instance': instance.instance,
@@ -328,14 +338,14 @@
 
 
 def is_connected(fleet: Fleet, name: str) -> bool:
-    """Tell whether a session to the process is open."""
+    """Tell whether the process is this one or has an open session to it."""
     return name == fleet.own.instance or any(
-        name in known for known in (fleet.links, fleet.entries)
+        name in sessions for sessions in (fleet.links, fleet.entries)
     )
 
 
 def report_row(report: Report) -> dict[str, object]:
-    """Return the shown form of a sidecar's report."""
+    """Return the JSON form of a sidecar's report."""
     return {
         'endpoint_up': report.endpoint_up,
         'model': report.model,
@@ -352,10 +362,12 @@
 
 
 async def get_events(context: OperatorsContext, request: Request) -> Response:
-    """Answer with the fleet's latest events in stamp order."""
-    limit = number_of(request, 'limit', DEFAULT_EVENTS)
+    """Return the fleet's latest events that match, in stamp order."""
+    limit = number_parameter(request, 'limit', DEFAULT_EVENTS)
     if limit is None:
-        return error(BAD_REQUEST, 'malformed', 'limit must be a number')
+        return error_response(
+            BAD_REQUEST, 'malformed', 'limit must be a number'
+        )
     events = await context.gather_events(
         request.query_params.get('contains', ''),
         min(max(int(limit), 1), MAX_EVENTS),
@@ -367,6 +379,6 @@
     context: OperatorsContext,
     request: Request,
 ) -> Response:
-    """Answer with one request's or item's history as sentences."""
+    """Return the history of a request, item, job or patch as sentences."""
     text = await context.explain(request.path_params['subject'])
     return PlainTextResponse(text)
