--- a/src/quetzaldyke/process/config_part.py
+++ b/src/quetzaldyke/process/config_part.py
@@ -1,4 +1,4 @@
-"""Plugs the configuration's spread and operators' HTTP into an entry."""
+"""Adds configuration, placement and the operators' HTTP to an entry."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 if TYPE_CHECKING:
     from quetzaldyke.process.entry import EntryProcess
 
-MAX_EXPLAINED: Final = 500
+MAX_EXPLAINED_EVENTS: Final = 500
 
 
 @dataclass(slots=True)
-class ConfigParts:
-    """Configuration of one entry; kept at `entry.versions`."""
+class ConfigServices:
+    """Services of the configuration part, stored in `entry.versions`."""
 
     sync: ConfigSync
     rollout: RolloutMonitor
@@ -42,7 +42,7 @@
 
 
 async def start(entry: EntryProcess) -> None:
-    """Start to follow the configuration."""
+    """Start configuration sync, rollout, event queries and placement."""
     assert entry.group is not None
     sync = ConfigSync.from_parts(
         entry.store,
@@ -58,7 +58,7 @@
     rollout.subscribe()
     controller = make_placement_controller(entry)
     controller.subscribe()
-    entry.versions = ConfigParts(sync, rollout, events, controller)
+    entry.versions = ConfigServices(sync, rollout, events, controller)
     entry.timers.subscribe(
         'placement',
         RECONCILE_INTERVAL_S,
@@ -69,7 +69,7 @@
 
 
 def make_placement_controller(entry: EntryProcess) -> PlacementController:
-    """Return the entry's part in giving orders to engines."""
+    """Return the controller of model placement for an entry."""
     assert entry.group is not None
 
     return PlacementController(
@@ -86,22 +86,22 @@
 
 
 def unready_reason(entry: EntryProcess, sync: ConfigSync) -> str:
-    """Return why the entry is not ready, or nothing."""
+    """Return why the entry is not ready for callers; empty if ready."""
     reason = entry.unready_reason()
     if not reason and not sync.synced:
         return 'the configuration may be older than that of the peers'
     return reason
 
 
-async def tell_events(events: EventQueries, name: str) -> str:
-    """Return the history of a name in sentences."""
-    return explain(name, await events.gather(name, MAX_EXPLAINED))
+async def explain_subject(events: EventQueries, name: str) -> str:
+    """Return the history of a request, item, job or patch as sentences."""
+    return explain(name, await events.gather(name, MAX_EXPLAINED_EVENTS))
 
 
 def operator_routes(entry: EntryProcess) -> Sequence[BaseRoute]:
-    """Return the routes for operators."""
+    """Return the operators' routes; `start` must have run."""
     parts = entry.versions
-    assert isinstance(parts, ConfigParts)
+    assert isinstance(parts, ConfigServices)
     context = OperatorsContext(
         operator_key=entry.settings.operator_key,
         holder=entry.config,
@@ -112,7 +112,7 @@
         log_event=entry.log_event,
         unready_reason=lambda: unready_reason(entry, parts.sync),
         gather_events=parts.events.gather,
-        explain=lambda name: tell_events(parts.events, name),
+        explain=lambda name: explain_subject(parts.events, name),
         on_head=parts.sync.on_head,
     )
     return make_operators_app(context).routes
--- a/src/quetzaldyke/process/entry.py
+++ b/src/quetzaldyke/process/entry.py
@@ -1,7 +1,7 @@
-"""The entry: the daemon between callers and sidecars.
+"""Runs the entry, the daemon between callers and sidecars.
 
 One exit stack owns everything that must be closed. Setting `stopping`
-starts the planned stop; cancelling the function is a crash.
+starts the graceful shutdown; cancelling `run_entry` ends it like a crash.
 """
 
 from __future__ import annotations
@@ -34,8 +34,8 @@
 from quetzaldyke.parts.timers import Clock, TimerService
 from quetzaldyke.process.callers_http import CallersContext, callers_app
 from quetzaldyke.process.callers_middleware import OpenRequests
-from quetzaldyke.process.entry_parts import PARTS, EntryPart
-from quetzaldyke.process.entry_stop import stop_as_planned
+from quetzaldyke.process.entry_parts import NO_PARTS, EntryPart
+from quetzaldyke.process.entry_stop import shut_down_gracefully
 from quetzaldyke.process.fleet import (
     Fleet,
     Instance,
@@ -66,13 +66,14 @@
 from quetzaldyke.version.holder import ConfigHolder
 
 INCARNATION_BYTES: Final = 8
-# Pruning reads all 64 buckets, which are few calls at this interval.
+# Pruning reads all 64 buckets of claims; at this interval that adds few
+# calls to the key-value service.
 PRUNE_INTERVAL_S: Final = 600.0
 
 
 @dataclass(slots=True)
 class EntryProcess:
-    """Everything that lives as long as one entry."""
+    """State and services of one entry for its lifetime."""
 
     settings: EntrySettings
     clock: Clock
@@ -92,9 +93,9 @@
     deadlines: DeadlineQueue
     usage: UsageExchange
     incarnation: str
-    # Set by the batch part: the service behind files and batches.
+    # Set by the batch part: the service of files and batches.
     jobs: object = None
-    # Set by the configuration part: its spread and queries.
+    # Set by the configuration part: propagation, rollout and event queries.
     versions: object = None
     group: TaskGroup | None = None
     link_options: LinkOptions | None = None
@@ -108,7 +109,7 @@
 
     @classmethod
     def from_settings(cls, settings: EntrySettings) -> EntryProcess:
-        """Build an entry that does not run yet."""
+        """Build an entry without starting it."""
         hybrid_clock = HybridClock(settings.instance)
         log_event, timeline = make_log_event(settings.instance, hybrid_clock)
         clock = Clock()
@@ -152,7 +153,7 @@
         )
 
     def unready_reason(self) -> str:
-        """Return why the balancer should send no caller here, or nothing."""
+        """Return why the entry is not ready for callers; empty if ready."""
         if self.stopping.is_set():
             return 'stopping'
         if not self.config.version:
@@ -160,7 +161,7 @@
         return ''
 
     def make_hello(self) -> Hello:
-        """Return the first message to a peer."""
+        """Return the first message on a peer connection."""
         return Hello(
             PROTOCOL_VERSION,
             'entry',
@@ -173,7 +174,7 @@
         )
 
     def make_link_options(self) -> LinkOptions:
-        """Return what every peer connection needs."""
+        """Return the options that all peer connections share."""
         return LinkOptions(
             secret=self.settings.fleet_secret,
             clock=self.hybrid_clock,
@@ -185,27 +186,27 @@
         )
 
     async def on_open(self, session: PeerSession) -> None:
-        """Register a peer; a fault in a handler must not end the entry."""
+        """Register a peer; an exception of a handler is only logged."""
         self.log_event('peer_opened', peer=session.remote.instance)
         try:
             await add_session(self.fleet, session)
         except Exception as exc:
-            self.note_fault(session, 'opened', exc)
+            self.log_handler_failure(session, 'opened', exc)
 
     async def on_message(self, session: PeerSession, message: Message) -> None:
-        """Handle a message; a fault in a handler must not end the entry."""
+        """Handle a message; an exception of a handler is only logged."""
         try:
             await dispatch(self.fleet, session, message)
         except Exception as exc:
-            self.note_fault(session, type(message).__name__, exc)
+            self.log_handler_failure(session, type(message).__name__, exc)
 
-    def note_fault(
+    def log_handler_failure(
         self,
         session: PeerSession,
         message: str,
         exc: Exception,
     ) -> None:
-        """Log a handler that failed."""
+        """Log the exception of a message handler."""
         self.log_event(
             'handler_failed',
             peer=session.remote.instance,
@@ -214,27 +215,27 @@
         )
 
     def on_close(self, session: PeerSession) -> None:
-        """Forget a peer and fail its requests."""
+        """Remove a peer and fail the requests that run on it."""
         self.log_event('peer_closed', peer=session.remote.instance)
         remove_session(self.fleet, session)
 
     def on_timer_failure(self, name: str, exc: Exception) -> None:
-        """Log a periodic job that failed; it runs again."""
+        """Log the exception of a periodic task, which still runs again."""
         self.log_event('timer_failed', timer=name, fault=repr(exc))
 
     async def prune_claims(self) -> None:
-        """Remove expired claims, on one entry of the fleet."""
+        """Remove expired claims if this entry is the one chosen for it."""
         own = self.settings.instance
         if first_for(self.fleet.live_entries(), 'claims') == own:
             await self.claims.prune()
 
-    async def expire_calls(self) -> None:
-        """End the calls whose deadline is over."""
+    async def expire_requests(self) -> None:
+        """End the requests that are past their deadline."""
         self.deadlines.expire(self.clock.now())
 
 
 def own_instance(settings: EntrySettings) -> Instance:
-    """Return the entry's own row."""
+    """Return the entry's own row of the instance list."""
     return Instance(
         settings.instance,
         'entry',
@@ -244,21 +245,23 @@
 
 
 def make_limits(clock: Clock, config: ConfigHolder, fleet: Fleet) -> Limits:
-    """Return the admission by organisation."""
+    """Return the limits by organisation, shared among live entries."""
 
-    def find(name: str) -> Organisation | None:
+    def find_organisation(name: str) -> Organisation | None:
         return config.current.organisations.get(name)
 
-    return Limits(clock.now, find, lambda: len(fleet.live_entries()))
+    return Limits(
+        clock.now, find_organisation, lambda: len(fleet.live_entries())
+    )
 
 
 async def run_entry(
     settings: EntrySettings,
     *,
-    parts: Sequence[EntryPart] = PARTS,
+    parts: Sequence[EntryPart] = NO_PARTS,
     task_status: TaskStatus[EntryProcess] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Run an entry until its planned stop is complete."""
+    """Run an entry until its graceful shutdown is complete."""
     entry = EntryProcess.from_settings(settings)
     async with AsyncExitStack() as stack:
         stack.push_async_callback(entry.store.aclose)
@@ -279,7 +282,7 @@
         )
         task_status.started(entry)
         await entry.stopping.wait()
-        await stop_as_planned(entry, callers, parts)
+        await shut_down_gracefully(entry, callers, parts)
         await operators.stop()
         group.cancel_scope.cancel()
     entry.log_event('entry_stopped')
@@ -290,7 +293,7 @@
     group: TaskGroup,
     stack: AsyncExitStack,
 ) -> None:
-    """Listen to peers, and read the instance list for the first time."""
+    """Start listening to peers and read the instance list once."""
     options = entry.make_link_options()
     entry.link_options = options
     entry.suspects.subscribe()
@@ -320,19 +323,19 @@
 
 
 def subscribe_timers(entry: EntryProcess) -> None:
-    """Subscribe the entry's own periodic work."""
+    """Register the entry's periodic tasks."""
     assert entry.membership is not None
     assert entry.once is not None
     timers = entry.timers
     timers.on_failure = entry.on_timer_failure
     timers.on_wakeup(
-        lambda late_s: entry.metrics.observe_ms(
+        lambda delay_s: entry.metrics.observe_ms(
             'timer_delay_ms',
-            late_s * MS_IN_S,
+            delay_s * MS_IN_S,
         ),
     )
     timers.subscribe('instances', LIST_INTERVAL_S, entry.membership.refresh)
-    timers.subscribe('deadlines', EXPIRY_INTERVAL_S, entry.expire_calls)
+    timers.subscribe('deadlines', EXPIRY_INTERVAL_S, entry.expire_requests)
     timers.subscribe(
         'outcomes', SETTLE_INTERVAL_S, entry.claims.retry_failed_writes
     )
@@ -342,7 +345,7 @@
 
 
 def http_options(entry: EntryProcess, address: str) -> HttpOptions:
-    """Return the options of an HTTP listener."""
+    """Return the options of a listener at an address."""
     return HttpOptions(address, math.ceil(entry.settings.drain_s))
 
 
@@ -351,7 +354,7 @@
     group: TaskGroup,
     parts: Sequence[EntryPart],
 ) -> HttpListener:
-    """Start the callers' listener."""
+    """Start the callers' listener and store its address."""
     assert entry.once is not None
     context = CallersContext(
         entry.settings,
@@ -360,8 +363,10 @@
         entry.execute,
         entry.once,
     )
-    more = [route for part in parts for route in part.caller_routes(entry)]
-    app = callers_app(context, entry.limits, entry.open_requests, more)
+    part_routes = [
+        route for part in parts for route in part.caller_routes(entry)
+    ]
+    app = callers_app(context, entry.limits, entry.open_requests, part_routes)
     options = http_options(entry, entry.settings.callers_address)
     listener = await start_http(app, options, group)
     entry.callers_address = listener.address
@@ -373,7 +378,7 @@
     group: TaskGroup,
     parts: Sequence[EntryPart],
 ) -> HttpListener:
-    """Start the operators' listener."""
+    """Start the operators' listener and store its address."""
     routes = [route for part in parts for route in part.operator_routes(entry)]
     options = http_options(entry, entry.settings.operators_address)
     listener = await start_http(Starlette(routes=routes), options, group)
--- a/src/quetzaldyke/process/entry_parts.py
+++ b/src/quetzaldyke/process/entry_parts.py
@@ -1,7 +1,7 @@
-"""Places where parts of an entry plug in: routes, timers and handlers.
+"""Extension points of an entry: routes and hooks at start and shutdown.
 
-A part gets the entry once, at its start, and takes from it the objects that
-it needs. Parts are started in order and stopped in reverse.
+Every hook and route factory of a part gets the entry and takes from it the
+objects that it needs. Parts are started in order and stopped in reverse.
 """
 
 from __future__ import annotations
@@ -15,33 +15,33 @@
 if TYPE_CHECKING:
     from quetzaldyke.process.entry import EntryProcess
 
-Routes = Callable[['EntryProcess'], Sequence[BaseRoute]]
-Hook = Callable[['EntryProcess'], Awaitable[None]]
+RouteFactory = Callable[['EntryProcess'], Sequence[BaseRoute]]
+PartHook = Callable[['EntryProcess'], Awaitable[None]]
 
 
 def no_routes(_: EntryProcess) -> Sequence[BaseRoute]:
-    """Return no routes."""
+    """Return no routes; default of a part without HTTP routes."""
     return ()
 
 
 async def do_nothing(_: EntryProcess) -> None:
-    """Start or stop nothing."""
+    """Do nothing; default of a part without a start or stop hook."""
 
 
 @dataclass(frozen=True, slots=True)
 class EntryPart:
-    """One part: where it listens and what it does at start and stop.
+    """A part of an entry: its HTTP routes and its start and stop hooks.
 
     `start` subscribes to timers and messages and may start tasks in the
-    entry's group. `stop` runs in a planned stop after the callers' requests
-    have ended and before the peer connections close.
+    entry's task group. `stop` runs during a graceful shutdown after the
+    callers' requests have ended and before the peer connections close.
     """
 
     name: str
-    caller_routes: Routes = no_routes
-    operator_routes: Routes = no_routes
-    start: Hook = do_nothing
-    stop: Hook = do_nothing
+    caller_routes: RouteFactory = no_routes
+    operator_routes: RouteFactory = no_routes
+    start: PartHook = do_nothing
+    stop: PartHook = do_nothing
 
 
-PARTS: Final[tuple[EntryPart, ...]] = ()
+NO_PARTS: Final[tuple[EntryPart, ...]] = ()
--- a/src/quetzaldyke/process/entry_stop.py
+++ b/src/quetzaldyke/process/entry_stop.py
@@ -1,7 +1,7 @@
-"""Planned stop of an entry, which cuts no request.
+"""Graceful shutdown of an entry, which lets running requests finish.
 
-The order is: not ready, linger while still serving, stop accepting, finish
-what runs, stop the parts.
+The entry turns unready, serves on for `linger_s`, stops accepting, waits for
+running requests and stops its parts.
 """
 
 from __future__ import annotations
@@ -22,23 +22,26 @@
 DRAIN_POLL_S: Final = 0.02
 
 
-async def stop_as_planned(
+async def shut_down_gracefully(
     entry: EntryProcess,
     callers: HttpListener,
     parts: Sequence[EntryPart],
 ) -> None:
-    """Leave without cutting a request."""
+    """Announce the shutdown, finish running requests and stop the parts.
+
+    Requests that still run after `drain_s` are logged and given up.
+    """
     entry.log_event('entry_stopping', open_requests=entry.open_requests.count)
     entry.fleet.own = replace(entry.fleet.own, leaving=True)
     for session in list(entry.fleet.entries.values()):
         session.send(LeavingNotice(entry.settings.instance))
-    # The balancer needs a moment to see that the entry is not ready, and
-    # sends callers until then.
+    # The load balancer sends callers until it has noticed that the entry is
+    # not ready.
     entry.open_requests.closing = True
     await anyio.sleep(entry.settings.linger_s)
     with anyio.move_on_after(entry.settings.drain_s) as scope:
         await callers.stop()
-        await drained(entry)
+        await wait_for_requests(entry)
         for part in reversed(parts):
             await part.stop(entry)
     if scope.cancelled_caught:
@@ -48,8 +51,11 @@
         )
 
 
-async def drained(entry: EntryProcess) -> None:
-    """Wait for callers' requests and runs whose caller is gone."""
+async def wait_for_requests(entry: EntryProcess) -> None:
+    """Wait for open requests and for runs whose caller has disconnected.
+
+    Then writes of outcomes that failed before are tried again.
+    """
     assert entry.once is not None
     while entry.open_requests.count or entry.once.running:
         await anyio.sleep(DRAIN_POLL_S)
--- a/src/quetzaldyke/process/entry_table.py
+++ b/src/quetzaldyke/process/entry_table.py
@@ -1,4 +1,4 @@
-"""The parts of which a whole entry consists."""
+"""Lists the parts of a complete entry."""
 
 from __future__ import annotations
 
--- a/src/quetzaldyke/process/fleet.py
+++ b/src/quetzaldyke/process/fleet.py
@@ -1,8 +1,8 @@
-"""What an entry knows of the fleet: sidecar links and other entries.
+"""Keeps an entry's connections to sidecars and to other entries.
 
-The platform's list says whom to dial; it lags, so direct signs go before
-it: a leaving notice, then the state of the connection, then the list. One
-task for each peer dials it again until the list drops it.
+The platform's instance list determines the peers to dial. Since it lags, a
+leaving notice takes precedence over the state of the connection, and that
+over the list. One task for each peer redials it until it leaves the list.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from quetzaldyke.connection.peer import PeerSession
 from quetzaldyke.parts.rendezvous import even_subset
 
-REDIAL_PAUSE_S: Final = 0.2
+REDIAL_DELAY_S: Final = 0.2
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,21 +42,21 @@
 
 @dataclass(slots=True)
 class SidecarLink:
-    """Connection to the sidecar of one endpoint."""
+    """Connection to the sidecar of one endpoint, and its last report."""
 
     instance: Instance
     session: PeerSession
     calls: CallTable
     report: Report | None = None
     leaving: bool = False
-    # Facts that routing keeps for the life of the connection.
+    # Kept by routing for the lifetime of the connection.
     running_online: int = 0
     running_batch: int = 0
     ttft_ms: float = 0.0
 
     @property
     def usable(self) -> bool:
-        """Tell whether new work may be sent here."""
+        """Tell whether new work may be sent over this link."""
         if self.session.closed or self.leaving or self.report is None:
             return False
         return self.report.endpoint_up and not self.report.leaving
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """Peers of one entry, and who wants which of their messages."""
+    """Peers of one entry and the subscribers to their messages."""
 
     own: Instance
     subset_size: int
@@ -79,13 +79,13 @@
         default_factory=lambda: defaultdict(list),
     )
     open_handlers: list[OpenHandler] = field(default_factory=list)
-    # Links whose place a newer connection to the same sidecar took; their
-    # requests go on until they close.
+    # Links, by session id, that a newer connection to the same sidecar
+    # replaced; their requests continue until they close.
     replaced: dict[int, SidecarLink] = field(default_factory=dict)
-    dialling: dict[str, anyio.CancelScope] = field(default_factory=dict)
+    dial_scopes: dict[str, anyio.CancelScope] = field(default_factory=dict)
 
     def subscribe(self, kind: type[Message], handler: Handler) -> None:
-        """Call `handler(session, message)` for each message of a kind."""
+        """Call `handler(session, message)` for each message of a type."""
         self.handlers[kind].append(handler)
 
     def on_open(self, handler: OpenHandler) -> None:
@@ -101,14 +101,14 @@
         ]
 
     def link_of(self, session: PeerSession) -> SidecarLink | None:
-        """Return the link that a session belongs to."""
+        """Return a session's link; None if it is not a sidecar's."""
         link = self.links.get(session.remote.instance)
         if link is not None and link.session is session:
             return link
         return self.replaced.get(id(session))
 
     def live_entries(self) -> list[str]:
-        """Return the entries that are not leaving, this one included."""
+        """Return the sorted names of live entries, this one included."""
         names = {
             one.instance
             for one in self.instances.values()
@@ -125,24 +125,24 @@
         yield from self.entries.values()
 
     def send_to_entry(self, instance: str, message: Message) -> bool:
-        """Send to another entry; False when it is not connected."""
+        """Send to another entry; return False if it is not connected."""
         session = self.entries.get(instance)
         if session is None or session.closed:
             return False
         session.send(message)
         return True
 
-    def wanted(self) -> dict[str, Instance]:
-        """Return the peers to be connected to.
+    def peers_to_dial(self) -> dict[str, Instance]:
+        """Return the peers that this entry dials: entries and its subset.
 
         Of two entries the one with the lower name dials, so that there is
         one connection for each pair.
         """
-        chosen: dict[str, Instance] = {}
+        peers: dict[str, Instance] = {}
         by_pool: dict[str, list[str]] = defaultdict(list)
         for one in self.instances.values():
             if one.role == 'entry' and self.own.instance < one.instance:
-                chosen[one.instance] = one
+                peers[one.instance] = one
             if one.role == 'sidecar':
                 by_pool[one.pool].append(one.instance)
         for names in by_pool.values():
@@ -152,8 +152,8 @@
                 sorted(names),
                 self.subset_size,
             ):
-                chosen[name] = self.instances[name]
-        return chosen
+                peers[name] = self.instances[name]
+        return peers
 
 
 async def dispatch(
@@ -161,32 +161,32 @@
     session: PeerSession,
     message: Message,
 ) -> None:
-    """Give a message to its request or to whoever subscribed."""
+    """Deliver a message to its call, or else to the subscribers."""
     link = fleet.link_of(session)
     if link is not None:
         if link.calls.deliver(message):
             return
-        note_report(link, message)
+        update_link(link, message)
     for handler in fleet.handlers.get(type(message), ()):
         await handler(session, message)
 
 
-def note_report(link: SidecarLink, message: Message) -> None:
-    """Keep what a sidecar says of itself."""
+def update_link(link: SidecarLink, message: Message) -> None:
+    """Update a link from its sidecar's report or leaving notice."""
     match message:
         case Report():
             link.report = message
-            # A notice holds until the sidecar's process is replaced.
+            # A notice applies until a new process of the sidecar connects.
             link.leaving = link.leaving or message.leaving
         case LeavingNotice():
             link.leaving = True
 
 
 async def add_session(fleet: Fleet, session: PeerSession) -> None:
-    """Register a new session of either role."""
+    """Register the session of a sidecar or entry and call the handlers."""
     name = session.remote.instance
     if session.remote.role == 'sidecar':
-        listed = fleet.instances.get(name) or Instance(
+        row = fleet.instances.get(name) or Instance(
             name,
             'sidecar',
             session.remote.failure_domain,
@@ -197,10 +197,10 @@
         if earlier is not None:
             fleet.replaced[id(earlier.session)] = earlier
         fleet.links[name] = SidecarLink(
-            listed,
+            row,
             session,
             CallTable(session),
-            leaving=listed.leaving,
+            leaving=row.leaving,
         )
     else:
         fleet.entries[name] = session
@@ -209,7 +209,7 @@
 
 
 def remove_session(fleet: Fleet, session: PeerSession) -> None:
-    """Forget a session and fail its requests."""
+    """Remove a closed session and fail the requests that run on it."""
     name = session.remote.instance
     link = fleet.link_of(session)
     if link is not None:
@@ -223,7 +223,7 @@
 
 
 def restore_replaced(fleet: Fleet, name: str) -> None:
-    """Use an older connection to a sidecar again when the newest closed."""
+    """Use an older open connection to a sidecar whose newest one closed."""
     for key, link in fleet.replaced.items():
         if link.instance.instance == name and not link.session.closed:
             fleet.links[name] = fleet.replaced.pop(key)
@@ -232,60 +232,64 @@
 
 def apply_instance_list(
     fleet: Fleet,
-    listed: list[Instance],
+    rows: list[Instance],
     group: TaskGroup,
     options: LinkOptions,
 ) -> None:
-    """Adopt a new instance list; dials new peers and drops absent ones."""
+    """Replace the instance list; dial new peers and stop dialling others.
+
+    A peer that left the list stays connected while requests run on it.
+    """
     fleet.instances = {
-        one.instance: one
-        for one in listed
-        if one.instance != fleet.own.instance
+        one.instance: one for one in rows if one.instance != fleet.own.instance
     }
     for name, link in fleet.links.items():
         row = fleet.instances.get(name)
         if row is not None and row.leaving:
             link.leaving = True
-    wanted = fleet.wanted()
-    for name in list(fleet.dialling):
-        if name not in wanted and not has_calls(fleet, name):
-            fleet.dialling.pop(name).cancel()
-    for name, instance in wanted.items():
-        if name not in fleet.dialling:
+    peers_to_dial = fleet.peers_to_dial()
+    for name in list(fleet.dial_scopes):
+        if name not in peers_to_dial and not has_calls(fleet, name):
+            fleet.dial_scopes.pop(name).cancel()
+    for name, instance in peers_to_dial.items():
+        if name not in fleet.dial_scopes:
             scope = anyio.CancelScope()
-            fleet.dialling[name] = scope
-            group.start_soon(keep_dialled, fleet, instance, options, scope)
+            fleet.dial_scopes[name] = scope
+            group.start_soon(keep_connected, fleet, instance, options, scope)
 
 
 def has_calls(fleet: Fleet, name: str) -> bool:
-    """Tell whether requests still run over the connection to a peer."""
+    """Tell whether requests run over the connection to a sidecar."""
     link = fleet.links.get(name)
     return link is not None and bool(link.calls.calls)
 
 
-async def keep_dialled(
+async def keep_connected(
     fleet: Fleet,
     instance: Instance,
     options: LinkOptions,
     scope: anyio.CancelScope,
 ) -> None:
-    """Stay connected to one peer until the list drops it."""
+    """Connect to a peer, and again after each end, until cancelled."""
     with scope:
         while True:
             row = fleet.instances.get(instance.instance, instance)
             await dial(row.peer_address, options)
-            await anyio.sleep(REDIAL_PAUSE_S)
+            await anyio.sleep(REDIAL_DELAY_S)
 
 
 def make_connector(
     fleet: Fleet,
     find_options: Callable[[], LinkOptions | None],
 ) -> Callable[[Instance], Coroutine[Any, Any, None]]:
-    """Return what stays connected to a process outside the subset."""
+    """Return a function that stays connected to an instance.
+
+    It serves for instances outside the subset and runs until cancelled.
+    """
 
-    async def reach(instance: Instance) -> None:
+    async def connect(instance: Instance) -> None:
         options = find_options()
         assert options is not None
-        await keep_dialled(fleet, instance, options, anyio.CancelScope())
+        await keep_connected(fleet, instance, options, anyio.CancelScope())
 
-    return reach
+    return connect
--- a/src/quetzaldyke/process/http_listener.py
+++ b/src/quetzaldyke/process/http_listener.py
@@ -1,4 +1,4 @@
-"""One HTTP listener of a process: its address, its stop and its end."""
+"""Starts an HTTP listener of a process and stops it gracefully."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @dataclass(slots=True)
 class HttpListener:
-    """A listener that runs in the process's task group."""
+    """A running listener: its address and its events for the stop."""
 
     address: str = ''
     stopping: anyio.Event = field(default_factory=anyio.Event)
     finished: anyio.Event = field(default_factory=anyio.Event)
 
     async def stop(self) -> None:
-        """Stop accepting, and wait until running requests are answered."""
+        """Stop accepting connections and wait for running requests."""
         self.stopping.set()
         await self.finished.wait()
 
@@ -31,7 +31,7 @@
     *,
     task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve one listener and report its address and its end."""
+    """Serve until the stop; set the listener's address and `finished`."""
     async with anyio.create_task_group() as group:
         http = await group.start(serve_http, app, options, listener.stopping)
         listener.address = http.address
@@ -44,7 +44,7 @@
     options: HttpOptions,
     group: TaskGroup,
 ) -> HttpListener:
-    """Start one HTTP listener."""
+    """Return a listener that has its address and accepts connections."""
     listener = HttpListener()
     await group.start(serve, app, options, listener)
     return listener
--- a/src/quetzaldyke/process/membership.py
+++ b/src/quetzaldyke/process/membership.py
@@ -1,7 +1,7 @@
 """Reads the platform's instance list and applies it to the fleet.
 
-The list lags and its service may be down; the last known list then stays
-in force, and direct signs from the peers decide who gets work.
+The list lags, and its service may be down; the last list read then stays in
+force, and notices and connections of the peers decide which get work.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 LIST_INTERVAL_S: Final = 1.0
 LIST_TIMEOUT_S: Final = 2.0
 HTTP_OK: Final = 200
-HTTP_FAULTS: Final = (
+HTTP_ERRORS: Final = (
     httpcore.NetworkError,
     httpcore.ProtocolError,
     httpcore.TimeoutException,
@@ -34,7 +34,7 @@
 
 
 class ListedInstance(BaseModel):
-    """One row of the list; fields that we don't know are ignored."""
+    """One row of the list; unknown fields are ignored."""
 
     model_config = ConfigDict(frozen=True)
 
@@ -53,7 +53,7 @@
 
 
 def to_instance(row: ListedInstance) -> Instance:
-    """Return the fleet's form of a row."""
+    """Convert a row of the list to the fleet's form."""
     return Instance(
         row.instance,
         row.role,
@@ -65,19 +65,19 @@
 
 
 def parse_list(body: bytes) -> Result[list[Instance], str]:
-    """Return the rows of a list, or why it can't be used."""
+    """Return the rows of a list, or its first error."""
     try:
         listed = InstanceList.model_validate_json(body)
     except ModelError as exc:
         first = exc.errors(include_input=False, include_url=False)[0]
-        place = '/'.join(str(part) for part in first['loc'])
-        return Err(f'{place}: {first["msg"]}')
+        location = '/'.join(str(part) for part in first['loc'])
+        return Err(f'{location}: {first["msg"]}')
     return Ok([to_instance(row) for row in listed.instances])
 
 
 @dataclass(slots=True)
 class Membership:
-    """Reader of the instance list of one entry."""
+    """Reads the instance list for one entry."""
 
     address: str
     fleet: Fleet
@@ -90,14 +90,14 @@
             network_backend=httpcore.AnyIOBackend(),
         ),
     )
-    # Entries that gave notice of their stop, with their incarnation. The
-    # list may call them live for a while longer.
-    notices: dict[str, str] = field(default_factory=dict)
-    # The last failure that was logged, so that an outage is one line.
-    failure: str = ''
+    # Incarnations of the entries that announced their shutdown, by name. The
+    # list may still show them as live for a while.
+    leaving_incarnations: dict[str, str] = field(default_factory=dict)
+    # Last logged failure, so that an outage is logged once.
+    logged_failure: str = ''
 
     async def read_list(self) -> Result[list[Instance], str]:
-        """Read the list once."""
+        """Fetch the list; return its rows, or why it can't be read."""
         timeouts = dict.fromkeys(
             ('connect', 'read', 'write', 'pool'),
             LIST_TIMEOUT_S,
@@ -108,60 +108,65 @@
                 f'http://{self.address}/instances',
                 extensions={'timeout': timeouts},
             )
-        except HTTP_FAULTS as exc:
+        except HTTP_ERRORS as exc:
             return Err(f'{type(exc).__name__} at the instance list')
         if response.status != HTTP_OK:
             return Err(f'status {response.status} of the instance list')
         return parse_list(response.content)
 
     async def refresh(self) -> None:
-        """Read the list and apply it; keep the last one on a failure."""
+        """Read and apply the list; keep the last one on a failure."""
         listed = await self.read_list()
         if isinstance(listed, Err):
-            self.note(listed.err_value)
+            self.log_failure_change(listed.err_value)
             return
         if not listed.ok_value and self.fleet.instances:
-            # A service that lost its data is likelier than a fleet that
-            # vanished; dropping every connection can't be taken back.
-            self.note('the instance list is empty')
+            # It is more likely that the service lost its data than that the
+            # whole fleet is gone, and to drop every connection could not be
+            # undone.
+            self.log_failure_change('the instance list is empty')
             return
-        self.note('')
+        self.log_failure_change('')
         rows = [
-            replace(row, leaving=row.leaving or row.instance in self.notices)
+            replace(
+                row,
+                leaving=row.leaving
+                or row.instance in self.leaving_incarnations,
+            )
             for row in listed.ok_value
         ]
         apply_instance_list(self.fleet, rows, self.group, self.options)
 
     def subscribe(self) -> None:
-        """Listen to notices of entries."""
+        """Subscribe to leaving notices and new sessions."""
         self.fleet.subscribe(LeavingNotice, self.on_notice)
         self.fleet.on_open(self.on_open)
 
     async def on_notice(self, session: PeerSession, message: Message) -> None:
-        """Take an entry that stops out of the live ones at once."""
+        """Mark an entry that announces its shutdown as leaving."""
         remote = session.remote
         if remote.role != 'entry' or not isinstance(message, LeavingNotice):
             return
         if message.instance != remote.instance:
             return
-        self.notices[remote.instance] = remote.incarnation
+        self.leaving_incarnations[remote.instance] = remote.incarnation
         row = self.fleet.instances.get(remote.instance)
         if row is not None:
             self.fleet.instances[row.instance] = replace(row, leaving=True)
 
     async def on_open(self, session: PeerSession) -> None:
-        """Forget the notice of an entry whose process was replaced."""
+        """Drop the notice of an entry that connects as a new process."""
         name = session.remote.instance
-        if self.notices.get(name) != session.remote.incarnation:
-            self.notices.pop(name, None)
+        if self.leaving_incarnations.get(name) != session.remote.incarnation:
+            self.leaving_incarnations.pop(name, None)
 
-    def note(self, failure: str) -> None:
-        """Log a failure when it begins or ends."""
-        if failure != self.failure:
+    def log_failure_change(self, failure: str) -> None:
+        """Log a failure when it begins, changes or ends (empty text)."""
+        if failure != self.logged_failure:
             name = 'instances_unreadable' if failure else 'instances_read'
             self.log_event(name, reason=failure)
-        self.failure = failure
+        self.logged_failure = failure
 
     async def aclose(self) -> None:
-        """Close the connections to the service."""
+        """Close the connections to the instance list service."""
         await self.pool.aclose()
--- a/src/quetzaldyke/process/suspects_relay.py
+++ b/src/quetzaldyke/process/suspects_relay.py
@@ -1,8 +1,8 @@
-"""Passes crash records between sidecars and entries.
+"""Relays crash records between sidecars and entries.
 
-Sidecars don't know each other. An entry merges what it hears, and passes
-only what was new on to its other peers, so that records neither circle
-between entries nor grow with their number.
+Sidecars are not connected to each other. An entry merges the records that it
+receives and relays only new ones to its other peers, so that records neither
+circulate between entries nor multiply with their number.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 
 @dataclass(slots=True)
 class SuspectRelay:
-    """Crash records of one entry."""
+    """Stores the crash records of one entry and relays new ones."""
 
     fleet: Fleet
     book: SuspectBook = field(default_factory=SuspectBook)
     read_wall_ms: Callable[[], int] = wall_clock_ms
 
     def subscribe(self) -> None:
-        """Listen to the fleet's messages and new peers."""
+        """Subscribe to crash records and new sessions."""
         self.fleet.subscribe(SuspectUpdate, self.on_update)
         self.fleet.on_open(self.on_open)
 
     async def on_update(self, session: PeerSession, message: Message) -> None:
-        """Merge records and pass on the new ones."""
+        """Merge a peer's records and send the new ones to all others."""
         if not isinstance(message, SuspectUpdate):
             return
         crashes, cleared = self.book.merge(
@@ -49,11 +49,11 @@
                 peer.send(SuspectUpdate(crashes, cleared))
 
     async def on_open(self, session: PeerSession) -> None:
-        """Send everything to a peer that just connected."""
+        """Send all records to a peer that has just connected."""
         crashes, cleared = self.book.tables()
         if crashes:
             session.send(SuspectUpdate(crashes, cleared))
 
     async def forget_old(self) -> None:
-        """Drop records whose time is over."""
+        """Remove records older than their retention time."""
         self.book.forget_old(self.read_wall_ms())
--- a/src/quetzaldyke/process/usage_exchange.py
+++ b/src/quetzaldyke/process/usage_exchange.py
@@ -1,4 +1,4 @@
-"""Exchanges use of organisations and advice between entries."""
+"""Exchanges the demand of organisations and shares of limits by entry."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 @dataclass(slots=True)
 class UsageExchange:
-    """Reports to coordinating entries, and advice as one of them."""
+    """Reports demand to coordinating entries and advises as one of them."""
 
     fleet: Fleet
     limits: Limits
     coordinator: Coordinator
 
     def subscribe(self) -> None:
-        """Listen to reports and advice."""
+        """Subscribe to usage reports and advice."""
         self.fleet.subscribe(UsageReport, self.on_report)
         self.fleet.subscribe(UsageAdvice, self.on_advice)
 
     async def on_report(self, session: PeerSession, message: Message) -> None:
-        """Note what another entry was asked."""
+        """Record the demand that another entry reports."""
         if isinstance(message, UsageReport):
             self.coordinator.record_demand(
                 session.remote.instance,
@@ -38,7 +38,7 @@
             )
 
     async def on_advice(self, session: PeerSession, message: Message) -> None:
-        """Follow advice from the entry that coordinates an organisation."""
+        """Apply shares of the organisations that the sender coordinates."""
         if not isinstance(message, UsageAdvice):
             return
         sender = session.remote.instance
@@ -52,18 +52,18 @@
         )
 
     async def exchange(self) -> None:
-        """Report the own use and advise the others; runs each second."""
+        """Report this entry's demand and advise others; runs each second."""
         entries = self.fleet.live_entries()
         own = self.fleet.own.instance
         by_coordinator: dict[str, dict[str, int]] = defaultdict(dict)
         for name, count in self.limits.take_demand().items():
-            first = first_for(entries, name) or own
-            by_coordinator[first][name] = count
-        for entry, used in by_coordinator.items():
+            coordinator = first_for(entries, name) or own
+            by_coordinator[coordinator][name] = count
+        for entry, demand in by_coordinator.items():
             if entry == own:
-                self.coordinator.record_demand(own, used)
+                self.coordinator.record_demand(own, demand)
             else:
-                self.fleet.send_to_entry(entry, UsageReport(used))
+                self.fleet.send_to_entry(entry, UsageReport(demand))
         for entry, shares in self.coordinator.compute_shares(entries).items():
             if entry == own:
                 self.limits.apply_advice(shares)
--- a/tests/test_entry_requests.py
+++ b/tests/test_entry_requests.py
@@ -288,11 +288,11 @@
             membership = fleet.entry().membership
             assert membership is not None
             fleet.instances.faults.down = True
-            await until(lambda: membership.failure != '')
+            await until(lambda: membership.logged_failure != '')
             fleet.instances.pending.clear()
             fleet.instances.rows.clear()
             fleet.instances.faults.down = False
-            await until(lambda: 'empty' in membership.failure)
+            await until(lambda: 'empty' in membership.logged_failure)
             answer = await fleet.complete('still here', 3)
             assert answer.text == answer_text('still here', 3)
 
