--- a/src/quetzaldyke/process/__init__.py
+++ b/src/quetzaldyke/process/__init__.py
@@ -1,1 +1,1 @@
-"""State that lives for one process, and the two daemons."""
+"""The two daemons, entry and sidecar, and the state of a process."""
--- a/src/quetzaldyke/process/callers_http.py
+++ b/src/quetzaldyke/process/callers_http.py
@@ -20,11 +20,11 @@
 
 from quetzaldyke.parts.timers import Clock
 from quetzaldyke.process.answers_http import (
+    AnswerFormat,
+    CompleteResponse,
     ErrorResponse,
     MakeEvents,
-    AnswerFormat,
     StreamResponse,
-    CompleteResponse,
     unix_time_s,
 )
 from quetzaldyke.process.callers_middleware import (
--- a/src/quetzaldyke/process/event_query.py
+++ b/src/quetzaldyke/process/event_query.py
@@ -1,7 +1,7 @@
-"""Collects events of the fleet's processes for operators.
+"""Collects the latest events of the fleet's processes for operators.
 
-Each process keeps only its latest events, so a query asks every connected
-peer and returns what came in time, in stamp order.
+Each process keeps only its own latest events, so a query asks every connected
+peer and returns the replies that arrive in time, in stamp order.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def matches(event: Event, contains: str) -> bool:
-    """Tell whether a field of the event has the text; all if empty."""
+    """Tell whether any field contains the text; always if it is empty."""
     if not contains:
         return True
     return any(contains in text for text in event.fields.values())
@@ -38,14 +38,14 @@
     contains: str,
     limit: int,
 ) -> list[Event]:
-    """Return the latest matching events of this process."""
+    """Return up to `limit` latest matching events, oldest first."""
     found = [one for one in timeline.events if matches(one, contains)]
     kept = max(0, min(limit, MAX_EVENTS, len(found)))
     return found[len(found) - kept :]
 
 
 def event_from_row(row: list[object]) -> Event | None:
-    """Return the event of a row, or None for one of another shape."""
+    """Return the event of a row; None if the row is malformed."""
     match row:
         case [[int(wall_ms), int(counter), str(process)], str(name), dict(raw)]:
             fields = {str(key): str(text) for key, text in raw.items()}
@@ -59,7 +59,7 @@
     timeline: Timeline,
     query: EventsRequest,
 ) -> None:
-    """Answer a peer's query from this process's time line."""
+    """Reply to a peer's query with matching events of the timeline."""
     found = select_events(timeline, query.contains, query.limit)
     rows = [event.as_row() for event in found]
     process = timeline.clock.process
@@ -67,58 +67,61 @@
 
 
 @dataclass(slots=True)
-class Query:
-    """Answers that a running query has so far."""
+class PendingQuery:
+    """Replies received so far for one query."""
 
     expected: int
-    buffers: list[list[Event]] = field(default_factory=list)
+    replies: list[list[Event]] = field(default_factory=list)
     complete: anyio.Event = field(default_factory=anyio.Event)
 
 
 @dataclass(slots=True)
 class EventQueries:
-    """Sends queries to peers and answers theirs."""
+    """Queries peers for events and replies to their queries."""
 
     fleet: Fleet
     timeline: Timeline
-    numbers: itertools.count[int] = field(default_factory=itertools.count)
-    running: dict[int, Query] = field(default_factory=dict)
+    query_ids: itertools.count[int] = field(default_factory=itertools.count)
+    running: dict[int, PendingQuery] = field(default_factory=dict)
 
     def subscribe(self) -> None:
-        """Take part in the fleet's messages."""
+        """Subscribe to queries and replies."""
         self.fleet.subscribe(EventsRequest, self.on_request)
         self.fleet.subscribe(EventsReply, self.on_reply)
 
     async def on_request(self, session: PeerSession, query: Message) -> None:
-        """Answer a peer."""
+        """Reply to the query of a peer."""
         if isinstance(query, EventsRequest):
             answer_query(session, self.timeline, query)
 
     async def on_reply(self, session: PeerSession, reply: Message) -> None:
-        """Add a peer's answer to its query."""
+        """Add a peer's reply to its query, unless that has ended."""
         if not isinstance(reply, EventsReply):
             return
         query = self.running.get(reply.query_id)
         if query is None:
             return
         events = [event_from_row(row) for row in reply.rows]
-        query.buffers.append([one for one in events if one is not None])
-        if len(query.buffers) >= query.expected:
+        query.replies.append([one for one in events if one is not None])
+        if len(query.replies) >= query.expected:
             query.complete.set()
 
     async def gather(self, contains: str, limit: int) -> list[Event]:
-        """Return matching events of this process and its peers."""
+        """Return the latest matching events of this process and its peers.
+
+        Peers that don't reply within `QUERY_TIMEOUT_S` are left out.
+        """
         sessions = list(self.fleet.sessions())
-        number = next(self.numbers)
-        query = Query(len(sessions))
-        self.running[number] = query
+        query_id = next(self.query_ids)
+        query = PendingQuery(len(sessions))
+        self.running[query_id] = query
         for session in sessions:
-            session.send(EventsRequest(number, contains, limit))
+            session.send(EventsRequest(query_id, contains, limit))
         try:
             if sessions:
                 with anyio.move_on_after(QUERY_TIMEOUT_S):
                     await query.complete.wait()
         finally:
-            self.running.pop(number)
+            self.running.pop(query_id)
         own = select_events(self.timeline, contains, limit)
-        return merge([own, *query.buffers])[-limit:]
+        return merge([own, *query.replies])[-limit:]
--- a/src/quetzaldyke/process/explain.py
+++ b/src/quetzaldyke/process/explain.py
@@ -1,7 +1,7 @@
-"""Tells one request's or item's history in sentences.
+"""Describes the history of a request, item, job or patch in sentences.
 
-The sentences are read out to callers by people who don't know the system,
-so each says what happened and, where that matters, whether the work ran.
+Support staff who don't know the system read the sentences out to callers, so
+each says what happened and, where that matters, whether the work ran.
 """
 
 from __future__ import annotations
@@ -15,31 +15,32 @@
 from quetzaldyke.parts.timeline import Event
 
 MS_IN_S: Final = 1000
-# Lines of a platform installation have a Unix time in place of a stamp.
+# Field of events logged by a platform installation: a Unix time, which they
+# have instead of a stamp.
 TIME_FIELD: Final = 't'
 
-RAN: Final = {
+RUN_CLAUSES: Final = {
     'not_run': 'it was certainly not run',
     'ran': 'it had run',
     'unknown': 'it is not known whether it ran',
 }
 
 
-def told(fields: Fields, name: str, default: str = 'an unknown one') -> str:
-    """Return a field for a sentence."""
+def field(fields: Fields, name: str, default: str = 'an unknown one') -> str:
+    """Return a field's text, or the default if it is absent or empty."""
     return fields.get(name) or default
 
 
-def ran_of(fields: Fields) -> str:
-    """Return what a failure says of the work."""
-    return RAN.get(fields.get('ran', ''), RAN['unknown'])
+def run_clause(fields: Fields) -> str:
+    """Return the clause that says whether the work ran."""
+    return RUN_CLAUSES.get(fields.get('ran', ''), RUN_CLAUSES['unknown'])
 
 
 def routed(fields: Fields, process: str) -> str:
-    """Tell of a try on an endpoint."""
-    number = told(fields, 'attempt', '1')
+    """Describe an attempt on an endpoint."""
+    number = field(fields, 'attempt', '1')
     text = (
-        f'{process} sent it to endpoint {told(fields, "endpoint")}, '
+        f'{process} sent it to endpoint {field(fields, "endpoint")}, '
         f'try {number}'
     )
     resumed = fields.get('resumed_at', '0')
@@ -48,112 +49,115 @@
     return text
 
 
-def failed(fields: Fields, process: str) -> str:
-    """Tell of a failed try."""
+def attempt_failed(fields: Fields, process: str) -> str:
+    """Describe a failed attempt."""
     return (
-        f'Try {told(fields, "attempt", "1")} on endpoint '
-        f'{told(fields, "endpoint", process)} failed '
-        f'({told(fields, "reason", "no reason given")}); {ran_of(fields)}'
+        f'Try {field(fields, "attempt", "1")} on endpoint '
+        f'{field(fields, "endpoint", process)} failed '
+        f'({field(fields, "reason", "no reason given")}); '
+        f'{run_clause(fields)}'
     )
 
 
 def failed_at_sidecar(fields: Fields, process: str) -> str:
-    """Tell of a failure at the endpoint itself."""
+    """Describe a failure reported by the endpoint's sidecar."""
     return (
         f'Endpoint {process} stopped working on it after '
-        f'{told(fields, "tokens", "0")} tokens '
-        f'({told(fields, "reason", "no reason given")}); {ran_of(fields)}'
+        f'{field(fields, "tokens", "0")} tokens '
+        f'({field(fields, "reason", "no reason given")}); '
+        f'{run_clause(fields)}'
     )
 
 
 def refused(fields: Fields, process: str) -> str:
-    """Tell of a refusal."""
+    """Describe a refusal and its code."""
     return (
-        f'{process} refused it ({told(fields, "code", "no reason given")}); '
-        f'{ran_of(fields)}'
+        f'{process} refused it ({field(fields, "code", "no reason given")}); '
+        f'{run_clause(fields)}'
     )
 
 
 def started(fields: Fields, process: str) -> str:
-    """Tell that an endpoint began."""
+    """Describe that an endpoint started the work."""
     kind = 'a batch item' if fields.get('work') == 'batch' else 'a live request'
     return f'Endpoint {process} began to work on it as {kind}'
 
 
 def finished(fields: Fields, process: str) -> str:
-    """Tell that an endpoint finished."""
+    """Describe that an endpoint finished the work."""
     return (
-        f'Endpoint {process} finished it with {told(fields, "tokens", "no")} '
-        f'tokens and status {told(fields, "status", "unknown")}'
+        f'Endpoint {process} finished it with {field(fields, "tokens", "no")} '
+        f'tokens and status {field(fields, "status", "unknown")}'
     )
 
 
 def crashed(fields: Fields, process: str) -> str:
-    """Tell of a crash while the request ran."""
+    """Describe a crash of the endpoint that ran the request."""
     return f'Endpoint {process} crashed while it was working on it'
 
 
 def ended(fields: Fields, process: str) -> str:
-    """Tell that the caller was answered, and by which try."""
+    """Describe which attempt gave the caller the complete answer."""
     return (
         f'{process} gave the caller the whole answer of endpoint '
-        f'{told(fields, "endpoint")}, try {told(fields, "attempt", "1")}, '
-        f'with {told(fields, "tokens", "no")} tokens'
+        f'{field(fields, "endpoint")}, try {field(fields, "attempt", "1")}, '
+        f'with {field(fields, "tokens", "no")} tokens'
     )
 
 
 def item_started(fields: Fields, process: str) -> str:
-    """Tell that an item got a slot."""
+    """Describe that a batch item was sent to an endpoint."""
     return (
-        f'{process} gave the item of job {told(fields, "job_id")} to endpoint '
-        f'{told(fields, "endpoint")}'
+        f'{process} gave the item of job {field(fields, "job_id")} to endpoint '
+        f'{field(fields, "endpoint")}'
     )
 
 
 def item_ended(fields: Fields, process: str) -> str:
-    """Tell whether an item has its result."""
+    """Describe whether an attempt of an item has a result."""
     if fields.get('recordable') == 'True':
         return f'{process} took its result to record it'
-    return f'{process} got no result and put the item back in line'
+    return f'{process} got no result and put the item back into the queue'
 
 
 def claimed(fields: Fields, process: str) -> str:
-    """Tell who took over a segment."""
+    """Describe which process claimed a segment of a job."""
     return (
-        f'{process} took over part {told(fields, "segment")} of job '
-        f'{told(fields, "job_id")}'
+        f'{process} took over part {field(fields, "segment")} of job '
+        f'{field(fields, "job_id")}'
     )
 
 
 def cancelled(fields: Fields, process: str) -> str:
-    """Tell that a job was stopped at a process."""
+    """Describe that a process stopped a cancelled job."""
     return (
-        f'{process} stopped job {told(fields, "job_id")}; '
-        f'{told(fields, "running", "0")} of its items were running there'
+        f'{process} stopped job {field(fields, "job_id")}; '
+        f'{field(fields, "running", "0")} of its items were running there'
     )
 
 
 def patched(fields: Fields, process: str) -> str:
-    """Tell what became of a configuration patch."""
-    outcome = told(fields, 'outcome', 'unknown')
+    """Describe the outcome of a configuration patch."""
+    outcome = field(fields, 'outcome', 'unknown')
     if outcome == 'accepted':
         return (
-            f'{process} accepted the patch as version {told(fields, "version")}'
+            f'{process} accepted the patch as version '
+            f'{field(fields, "version")}'
         )
     return f'{process} did not accept the patch ({outcome})'
 
 
 def moved(fields: Fields, process: str) -> str:
-    """Tell of a replica that changed its pool."""
+    """Describe that a replica was moved to another pool."""
     return (
-        f'{process} moved endpoint {told(fields, "endpoint")} from pool '
-        f'{told(fields, "from_pool")} to pool {told(fields, "to_pool")}'
+        f'{process} moved endpoint {field(fields, "endpoint")} from pool '
+        f'{field(fields, "from_pool")} to pool {field(fields, "to_pool")}'
     )
 
 
 SENTENCES: Final[dict[str, Sentence]] = {
     'request_routed': routed,
-    'attempt_failed': failed,
+    'attempt_failed': attempt_failed,
     'request_failed': failed_at_sidecar,
     'request_refused': refused,
     'request_started': started,
@@ -169,8 +173,8 @@
 }
 
 
-def other(event: Event) -> str:
-    """Tell of an event that has no sentence of its own."""
+def generic_sentence(event: Event) -> str:
+    """Describe an event without a sentence of its own by its fields."""
     pairs = ', '.join(
         f'{key} {text}'
         for key, text in event.fields.items()
@@ -178,33 +182,33 @@
     )
     name = event.name.replace('_', ' ')
     suffix = f' ({pairs})' if pairs else ''
-    return f'{event.stamp.process} noted: {name}{suffix}'
+    return f'{event.stamp.process} logged: {name}{suffix}'
 
 
 def clock_time(event: Event) -> str:
-    """Return the time of an event, in UTC."""
+    """Return the time of day of an event, in UTC."""
     at = datetime.fromtimestamp(event.stamp.wall_ms / MS_IN_S, timezone.utc)
     return at.strftime('%H:%M:%S')
 
 
-def is_of_gateway(event: Event) -> bool:
+def is_gateway_event(event: Event) -> bool:
     """Tell whether a process of a platform installation logged an event."""
     return TIME_FIELD in event.fields
 
 
 def sentence_of(event: Event) -> str:
     """Return the sentence of one event."""
-    known = history.SENTENCES if is_of_gateway(event) else SENTENCES
-    tell = known.get(event.name)
-    if tell is None:
-        return other(event)
-    return tell(event.fields, event.stamp.process)
+    known = history.SENTENCES if is_gateway_event(event) else SENTENCES
+    describe = known.get(event.name)
+    if describe is None:
+        return generic_sentence(event)
+    return describe(event.fields, event.stamp.process)
 
 
 def explain(subject: str, events: Sequence[Event]) -> str:
     """Return the history of a request, item, job or patch.
 
-    Events must be in stamp order. Without events it says so, since that
+    Events must be in stamp order. If there are none, the text says that this
     does not mean that nothing happened.
     """
     if not events:
@@ -225,12 +229,12 @@
 
 
 def outcome_of(events: Sequence[Event]) -> str:
-    """Return the sentence that sums up how it stands."""
-    of_gateway = history.outcome_of(
-        [one for one in events if is_of_gateway(one)]
+    """Return the sentence on the final or last known state."""
+    gateway_outcome = history.outcome_of(
+        [one for one in events if is_gateway_event(one)]
     )
-    if of_gateway:
-        return of_gateway
+    if gateway_outcome:
+        return gateway_outcome
     names = [event.name for event in events]
     if 'request_ended' in names:
         return 'The caller has the whole answer.'
--- a/src/quetzaldyke/process/logs.py
+++ b/src/quetzaldyke/process/logs.py
@@ -1,7 +1,7 @@
-"""Logs: one key=value line for each event, through eliot.
+"""Logs each event as one key=value line, through eliot.
 
-Every event also goes into the process's time line. Callers never pass
-secrets or request bodies.
+Every event is also recorded in the process's timeline. Callers must not
+pass secrets or request bodies.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from quetzaldyke.parts.hlc import HybridClock
 from quetzaldyke.parts.timeline import Event, Timeline
 
-# Fields that eliot adds and that the time line's stamp replaces.
-OMITTED: Final = frozenset(
+# Fields that eliot adds and that the timeline's stamp replaces.
+OMITTED_FIELDS: Final = frozenset(
     (
         'task_uuid',
         'task_level',
@@ -29,7 +29,9 @@
 
 
 def render_value(content: object) -> str:
-    """Return a value in key=value form, quoted when it holds spaces.
+    """Return a value in key=value form.
+
+    An empty value and one with whitespace, `=` or `"` is quoted and escaped.
 
     >>> render_value('late answer')
     '"late answer"'
@@ -43,17 +45,17 @@
 
 
 def render_line(message: Mapping[str, object]) -> str:
-    """Return one log line of an eliot message."""
+    """Return the log line of an eliot message, event name first."""
     pairs = [f'event={message.get("message_type", "")}']
     pairs.extend(
         f'{key}={render_value(content)}'
         for key, content in message.items()
-        if key not in OMITTED
+        if key not in OMITTED_FIELDS
     )
     return ' '.join(pairs)
 
 
-def write_lines_to(output: TextIO) -> Callable[[Mapping[str, object]], None]:
+def line_writer(output: TextIO) -> Callable[[Mapping[str, object]], None]:
     """Return an eliot destination that writes lines to `output`."""
 
     def write(message: Mapping[str, object]) -> None:
@@ -64,15 +66,15 @@
 
 
 def add_stderr_destination() -> None:
-    """Send log lines to standard error."""
-    eliot.add_destinations(write_lines_to(sys.stderr))
+    """Write all further log lines to standard error."""
+    eliot.add_destinations(line_writer(sys.stderr))
 
 
 def make_log_event(
     process: str,
     clock: HybridClock,
 ) -> tuple[LogEvent, Timeline]:
-    """Return the logging function of a process and its time line."""
+    """Return the logging function of a process and its new timeline."""
     timeline = Timeline(clock)
 
     def log_event(name: str, **fields: object) -> Event:
--- a/src/quetzaldyke/process/metrics.py
+++ b/src/quetzaldyke/process/metrics.py
@@ -1,7 +1,7 @@
-"""Counters, gauges and latency quantiles of one process.
+"""Collects counters, gauges and latency summaries of one process.
 
-Rendered in the text exposition format. Quantiles come from one
-high-dynamic-range histogram for each series.
+Renders them in the Prometheus text format. Quantiles are read from one HDR
+histogram for each series.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 
 from hdrh.histogram import HdrHistogram
 
-LOWEST: Final = 1  # us
-HIGHEST: Final = 3_600_000_000  # us, one hour
+LOWEST_US: Final = 1  # us
+HIGHEST_US: Final = 3_600_000_000  # us, one hour
 SIGNIFICANT_DIGITS: Final = 2
 US_IN_MS: Final = 1000
 QUANTILES: Final = (0.5, 0.9, 0.95, 0.99, 0.999)
 PERCENT: Final = 100
-# A series is never forgotten, so labels must come from bounded sets. Further
-# series beyond the limit are counted under one label.
+# Series are never removed, so labels must come from bounded sets. Values of
+# series beyond this limit are added to one overflow series for each name.
 MAX_SERIES: Final = 10_000
-OVERFLOW: Final = (('overflow', 'true'),)
+OVERFLOW_LABELS: Final = (('overflow', 'true'),)
 
 Labels = tuple[tuple[str, str], ...]
 Series = tuple[str, Labels]
 
 
 def render_labels(labels: Labels) -> str:
-    """Return labels in the exposition format.
+    """Return labels in braces; empty if there are none.
 
     >>> render_labels((('pool', 'orders'),))
     '{pool="orders"}'
@@ -40,7 +40,7 @@
 
 
 def escape(text: str) -> str:
-    r"""Escape a label's text.
+    r"""Escape backslashes, quotes and newlines of a label value.
 
     >>> escape('a"b')
     'a\\"b'
@@ -50,13 +50,13 @@
 
 
 def series_of(name: str, labels: dict[str, str]) -> Series:
-    """Return the key of a series."""
+    """Return the key of a series: its name and sorted labels."""
     return name, tuple(sorted(labels.items()))
 
 
 @dataclass(slots=True)
 class Metrics:
-    """All series of a process.
+    """Counters, gauges and histograms of a process.
 
     >>> metrics = Metrics()
     >>> metrics.count('requests_total', pool='orders')
@@ -81,40 +81,42 @@
     gauges: dict[Series, Callable[[], float]] = field(default_factory=dict)
 
     def count(self, name: str, amount: float = 1, **labels: str) -> None:
-        """Add to a counter."""
-        series = self.bounded(self.counters, series_of(name, labels))
+        """Add `amount` to a counter."""
+        series = self.limit_series(self.counters, series_of(name, labels))
         self.counters[series] = self.counters.get(series, 0) + amount
 
     def observe_ms(self, name: str, elapsed_ms: float, **labels: str) -> None:
-        """Record one duration."""
-        series = self.bounded(self.histograms, series_of(name, labels))
+        """Record a duration, clamped to 1 us to one hour for quantiles."""
+        series = self.limit_series(self.histograms, series_of(name, labels))
         histogram = self.histograms.get(series)
         if histogram is None:
-            histogram = HdrHistogram(LOWEST, HIGHEST, SIGNIFICANT_DIGITS)
+            histogram = HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
             self.histograms[series] = histogram
         in_us = int(elapsed_ms * US_IN_MS)
-        histogram.record_value(min(max(in_us, LOWEST), HIGHEST))
+        histogram.record_value(min(max(in_us, LOWEST_US), HIGHEST_US))
         self.sums[series] = self.sums.get(series, 0) + elapsed_ms
 
     def gauge(
         self, name: str, read: Callable[[], float], **labels: str
     ) -> None:
-        """Register a value that is read when metrics are rendered."""
+        """Register a gauge that `read` returns when metrics are rendered."""
         self.gauges[series_of(name, labels)] = read
 
     def quantile_ms(self, name: str, quantile: float, **labels: str) -> float:
-        """Return a quantile of a series; 0 when nothing was recorded."""
+        """Return a quantile of a series; 0 if nothing was recorded."""
         histogram = self.histograms.get(series_of(name, labels))
         return quantile_of(histogram, quantile) if histogram else 0
 
-    def bounded(self, known: Mapping[Series, object], series: Series) -> Series:
-        """Return the series, or the shared one when there are too many."""
+    def limit_series(
+        self, known: Mapping[Series, object], series: Series
+    ) -> Series:
+        """Return the series, or the overflow series if there are too many."""
         if series in known or len(known) < MAX_SERIES:
             return series
-        return series[0], OVERFLOW
+        return series[0], OVERFLOW_LABELS
 
     def render(self) -> str:
-        """Return everything in the text exposition format."""
+        """Return all metrics in the text exposition format."""
         lines = [
             *render_family(self.counters, 'counter'),
             *render_family(
@@ -126,7 +128,7 @@
         return ''.join(f'{line}\n' for line in lines)
 
     def render_summaries(self) -> Iterator[str]:
-        """Yield the lines of all histograms."""
+        """Yield the lines of all histograms as summaries."""
         last_name = ''
         for series in sorted(self.histograms):
             name, labels = series
@@ -135,16 +137,16 @@
                 last_name = name
             histogram = self.histograms[series]
             for quantile in QUANTILES:
-                marked = (*labels, ('quantile', f'{quantile:g}'))
+                quantile_labels = (*labels, ('quantile', f'{quantile:g}'))
                 amount = quantile_of(histogram, quantile)
-                yield f'{name}{render_labels(marked)} {amount:g}'
+                yield f'{name}{render_labels(quantile_labels)} {amount:g}'
             text = render_labels(labels)
             yield f'{name}_sum{text} {self.sums[series]:.12g}'
             yield f'{name}_count{text} {histogram.get_total_count()}'
 
 
 def quantile_of(histogram: HdrHistogram, quantile: float) -> float:
-    """Return a quantile in ms."""
+    """Return a quantile of a histogram, in ms."""
     in_us: float = histogram.get_value_at_percentile(quantile * PERCENT)
     return in_us / US_IN_MS
 
--- a/src/quetzaldyke/process/settings.py
+++ b/src/quetzaldyke/process/settings.py
@@ -1,7 +1,7 @@
-"""Settings of each role, from flags and environment variables.
+"""Loads the settings of each role from flags and environment variables.
 
-A flag wins over its variable. The settings of a role are checked as a
-whole and every finding names its flag and variable.
+A flag takes precedence over its variable. All settings of a role are
+validated together, and every error names its flag and variable.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 
 
 def check_address(text: str) -> str:
-    """Accept `IP:PORT` with an IP number, never a host name."""
+    """Return an `IP:PORT` address; raise ValueError, also for host names."""
     host, _, port = text.rpartition(':')
     try:
         ipaddress.ip_address(host.strip('[]'))
     except ValueError as exc:
-        raise ValueError('must be IP:PORT with an IP number') from exc
+        raise ValueError('must be IP:PORT with an IP address') from exc
     if not port.isdecimal() or not 0 <= int(port) <= MAX_PORT:
         raise ValueError(f'port must be 0 to {MAX_PORT}')
     return text
@@ -40,7 +40,7 @@
 
 
 class ProcessSettings(BaseModel):
-    """Settings that both daemons have."""
+    """Settings common to both daemons."""
 
     model_config = ConfigDict(extra='forbid', frozen=True)
 
@@ -142,7 +142,7 @@
 
 
 def flag_of(name: str) -> str:
-    """Return the flag of a field.
+    """Return the command-line flag of a setting.
 
     >>> flag_of('peer_address')
     '--peer-address'
@@ -151,7 +151,7 @@
 
 
 def variable_of(name: str) -> str:
-    """Return the environment variable of a field.
+    """Return the environment variable of a setting.
 
     >>> variable_of('peer_address')
     'QUETZALDYKE_PEER_ADDRESS'
@@ -164,24 +164,24 @@
     flags: Mapping[str, object],
     environ: Mapping[str, str] | None = None,
 ) -> Result[SettingsT, Errors]:
-    """Build a role's settings or report every finding."""
-    variables = os.environ if environ is None else environ
-    given: dict[str, object] = {}
+    """Return a role's settings, or all errors if any value is invalid."""
+    environment = os.environ if environ is None else environ
+    values: dict[str, object] = {}
     for name in model.model_fields:
-        if variable_of(name) in variables:
-            given[name] = variables[variable_of(name)]
-    given.update(flags)
+        if variable_of(name) in environment:
+            values[name] = environment[variable_of(name)]
+    values.update(flags)
     try:
-        return Ok(model.model_validate(given))
+        return Ok(model.model_validate(values))
     except ModelError as exc:
-        return Err(findings_of(exc))
+        return Err(to_errors(exc))
 
 
-def findings_of(exc: ModelError) -> Errors:
-    """Turn a model's errors into findings without the given values."""
+def to_errors(exc: ModelError) -> Errors:
+    """Convert validation errors; leaves out values, which may be secret."""
     errors = Errors()
-    for one in exc.errors(include_input=False, include_url=False):
-        name = str(one['loc'][0]) if one['loc'] else ''
+    for error in exc.errors(include_input=False, include_url=False):
+        name = str(error['loc'][0]) if error['loc'] else ''
         place = f'{flag_of(name)} / {variable_of(name)}'
-        errors.add(place, one['msg'])
+        errors.add(place, error['msg'])
     return errors
--- a/tests/entry_rig.py
+++ b/tests/entry_rig.py
@@ -1,4 +1,4 @@
-"""A small fleet over real sockets: stand-ins, sidecars and entries."""
+"""Runs a small fleet over real sockets: stand-ins, sidecars and entries."""
 
 from __future__ import annotations
 
@@ -42,14 +42,14 @@
 
 SECRET = 'fleet-secret-0001'
 LIMIT_S = 30.0
-ANY = '127.0.0.1:0'
+LOOPBACK_ADDRESS = '127.0.0.1:0'
 KEYS = {'barf': 'key-of-barf-0001', 'kymata': 'key-of-kymata-01'}
-# Targets that a busy test machine can't miss.
-SLOW_MS = 60_000.0
+# Latency targets that are met even on a busy test machine.
+LENIENT_TARGET_MS = 60_000.0
 
 
 def configuration(**more: Any) -> Configuration:
-    """Return a configuration with a model pool and a service pool."""
+    """Return a configuration with an engine pool and a service pool."""
     fields: dict[str, Any] = {
         'pools': {
             'orders': Pool(model='model'),
@@ -65,25 +65,25 @@
 
 @dataclass
 class Role:
-    """A running role that can be crashed or stopped."""
+    """A running entry or sidecar that a test can crash or shut down."""
 
     process: Any
     scope: anyio.CancelScope
     done: anyio.Event
 
     async def crash(self) -> None:
-        """End the role without a planned stop."""
+        """End the process at once, without a graceful shutdown."""
         self.scope.cancel()
         await self.done.wait()
 
     async def stop(self) -> None:
-        """Make the planned stop."""
+        """Shut the process down gracefully."""
         self.process.stopping.set()
         await self.done.wait()
 
 
 async def start_role(group: TaskGroup, run: Callable[..., Any]) -> Role:
-    """Start a role in a scope of its own."""
+    """Start an entry or sidecar in its own cancel scope."""
     role = Role(None, anyio.CancelScope(), anyio.Event())
     started = anyio.Event()
 
@@ -101,24 +101,24 @@
 
 @dataclass
 class Answer:
-    """A response to a caller."""
+    """A complete response to a caller."""
 
     status: int
     headers: dict[str, str]
     body: bytes
 
     def json(self) -> Any:
-        """Return the JSON content."""
+        """Return the parsed JSON body."""
         return json.loads(self.body)
 
     @property
     def error(self) -> dict[str, str]:
-        """Return the error of a refusal."""
+        """Return the error object of a refusal."""
         found: dict[str, str] = self.json()['error']
         return found
 
     def events(self) -> list[Any]:
-        """Return the data of the SSE events; JSON where it is JSON."""
+        """Return the data of the SSE events, parsed except for `[DONE]`."""
         found = []
         for block in self.body.decode().split('\n\n'):
             for line in block.splitlines():
@@ -129,7 +129,7 @@
 
     @property
     def text(self) -> str:
-        """Return the text of a streamed or whole generation."""
+        """Return the text of a generation, streamed or not."""
         if 'event-stream' not in self.headers['content-type']:
             choice = self.json()['choices'][0]
             found: str = choice.get('text') or choice['message']['content']
@@ -143,13 +143,13 @@
 
     @property
     def whole(self) -> bool:
-        """Tell whether a stream has its closing mark."""
+        """Tell whether a stream ends with `[DONE]`."""
         return self.body.rstrip().endswith(b'data: [DONE]')
 
 
 @dataclass
 class Fleet:
-    """Everything that one test runs."""
+    """The processes and stand-ins of one test."""
 
     group: TaskGroup
     kv: KvStandin
@@ -162,12 +162,12 @@
     entries: dict[str, Role] = field(default_factory=dict)
 
     def entry(self, name: str = 'entry-1') -> EntryProcess:
-        """Return an entry."""
+        """Return the entry with this name."""
         found: EntryProcess = self.entries[name].process
         return found
 
     def sidecar(self, name: str) -> SidecarProcess:
-        """Return a sidecar."""
+        """Return the sidecar with this name."""
         found: SidecarProcess = self.sidecars[name].process
         return found
 
@@ -177,14 +177,14 @@
         self.instances.change(name, row)
 
     async def add_engine(self, name: str, **options: Any) -> None:
-        """Start an engine with its sidecar in the pool of models."""
+        """Start an engine with its sidecar in the pool `orders`."""
         chosen = EngineOptions(**{'step_ms': 2.0, **options})
         engine = await self.group.start(run_engine, chosen)
         self.engines[name] = engine
         await self.add_sidecar(name, engine.address, 'engine', 'orders')
 
     async def add_service(self, name: str) -> None:
-        """Start a plain service with its sidecar."""
+        """Start a plain service with its sidecar in the pool `dispatch`."""
         service = await self.group.start(run_service, ServiceOptions())
         self.services[name] = service
         await self.add_sidecar(name, service.address, 'service', 'dispatch')
@@ -202,13 +202,13 @@
             **{
                 'instance': name,
                 'failure_domain': 'a',
-                'peer_address': ANY,
+                'peer_address': LOOPBACK_ADDRESS,
                 'fleet_secret': SECRET,
                 'endpoint_address': address,
                 'endpoint_kind': kind,
                 'pool': pool,
-                'ttft_target_ms': SLOW_MS,
-                'tbt_target_ms': SLOW_MS,
+                'ttft_target_ms': LENIENT_TARGET_MS,
+                'tbt_target_ms': LENIENT_TARGET_MS,
                 **more,
             },
         )
@@ -227,15 +227,15 @@
         parts: tuple[EntryPart, ...] = (),
         **more: Any,
     ) -> None:
-        """Start an entry that holds the configuration, and list it."""
+        """Start an entry with the configuration, and list it."""
         settings = EntrySettings(
             **{
                 'instance': name,
                 'failure_domain': 'a',
-                'peer_address': ANY,
+                'peer_address': LOOPBACK_ADDRESS,
                 'fleet_secret': SECRET,
-                'callers_address': ANY,
-                'operators_address': ANY,
+                'callers_address': LOOPBACK_ADDRESS,
+                'operators_address': LOOPBACK_ADDRESS,
                 'operator_key': 'operator-key-0001',
                 'kv_address': self.kv.address,
                 'instances_address': self.instances.address,
@@ -255,7 +255,7 @@
         self.list_instance(name, 'entry', peer_address=address)
 
     async def until_connected(self) -> None:
-        """Wait until every entry can use every endpoint."""
+        """Wait until entries can use all endpoints and see each other."""
         await until(
             lambda: all(
                 len(role.process.fleet.links_of(pool)) == len(group)
@@ -283,7 +283,7 @@
         organisation: str = 'barf',
         headers: dict[str, str] | None = None,
     ) -> Answer:
-        """Send a caller's request and read the whole response."""
+        """Send a caller's request and return the complete response."""
         given = {
             'Authorization': f'Bearer {KEYS.get(organisation, "none")}',
             'Content-Type': 'application/json',
@@ -314,7 +314,7 @@
         entry: str = 'entry-1',
         headers: dict[str, str] | None = None,
     ) -> Answer:
-        """Ask for a completion."""
+        """Request a completion."""
         body = {
             'model': 'orders',
             'prompt': prompt,
@@ -336,7 +336,7 @@
         entry: str = 'entry-1',
         organisation: str = 'barf',
     ) -> Answer:
-        """Make a booking, which must not run twice."""
+        """Send a booking with an idempotency key; it must not run twice."""
         return await self.ask(
             '/services/dispatch/bookings',
             {'id': booking},
@@ -346,20 +346,20 @@
         )
 
     def executions(self, booking: str) -> int:
-        """Return how often a booking ran anywhere."""
+        """Return how often a booking ran, on all services."""
         return sum(
             service.executions[booking] for service in self.services.values()
         )
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait for a condition; the rig's time limit ends a vain wait."""
+    """Wait for a condition; the fleet's time limit ends the wait."""
     while not condition():
         await anyio.sleep(0.005)
 
 
 def uuid7(age_s: float = 0.0) -> str:
-    """Return a UUIDv7 made some time ago."""
+    """Return a UUIDv7 with a time `age_s` in the past."""
     ms = int((time.time() - age_s) * 1000)
     low = uuid.uuid4().int & ((1 << 62) - 1)
     number = (ms << 80) | (7 << 76) | (0b10 << 62) | low
@@ -375,7 +375,7 @@
     engine: dict[str, Any] | None = None,
     entry: dict[str, Any] | None = None,
 ) -> AsyncIterator[Fleet]:
-    """Run a fleet for one test."""
+    """Run a fleet for one test, for at most `LIMIT_S`."""
     with anyio.fail_after(LIMIT_S):
         async with anyio.create_task_group() as group:
             fleet = Fleet(
--- a/tests/history.py
+++ b/tests/history.py
@@ -1,7 +1,7 @@
-"""Records concurrent operations and checks what must hold of them.
+"""Records concurrent operations and checks their consistency.
 
-Start and end are positions in one sequence, so that "ended before it
-started" needs no clock.
+Start and end are positions in one sequence, so that the order of operations
+can be compared without a clock.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 @dataclass(slots=True)
 class Operation:
-    """One call: what it did, when, and how it ended.
+    """One operation with its start, end and value.
 
-    `end` is None while the call runs or when its result is unknown; such
-    a call may take effect at any later time.
+    `end` is None while the operation runs or if its result is unknown; such
+    an operation may take effect at any later time.
     """
 
     name: str  # 'run', 'write' or 'read'
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class History:
-    """Operations of all processes in order of their start."""
+    """Operations of all processes, ordered by start."""
 
     operations: list[Operation] = field(default_factory=list)
     position: int = 0
@@ -47,7 +47,7 @@
         return operation
 
     def finish(self, operation: Operation) -> None:
-        """Record that an operation is known to be done."""
+        """Record that an operation has succeeded."""
         operation.end = self.next_position()
 
     @contextmanager
@@ -57,13 +57,16 @@
         key: str,
         value: object = None,
     ) -> Iterator[Operation]:
-        """Record an operation that is done when the block ends."""
+        """Record an operation that succeeds when the block ends.
+
+        Its end stays None if the block raises.
+        """
         operation = self.begin(name, key, value)
         yield operation
         self.finish(operation)
 
     def named(self, name: str) -> list[Operation]:
-        """Return the operations of one name."""
+        """Return the operations with this name."""
         return [one for one in self.operations if one.name == name]
 
 
@@ -76,8 +79,8 @@
 def lost_writes(history: History) -> list[Operation]:
     """Return acknowledged writes that a later read of the key missed.
 
-    A read that began after the write was acknowledged must return its
-    value, or that of a write that is not older.
+    A read that began after a write was acknowledged must return its value or
+    that of a concurrent or later write.
     """
     lost = []
     writes = history.named('write')
@@ -104,7 +107,7 @@
     read: Operation,
     writes: list[Operation],
 ) -> list[object] | None:
-    """Return the values that a read may see; None when any is allowed."""
+    """Return the values that a read may return; None if any is allowed."""
     before = acknowledged_before(read, writes)
     if not before:
         return None
@@ -118,8 +121,8 @@
     ]
 
 
-def went_back(history: History) -> list[tuple[Operation, Operation]]:
-    """Return pairs of reads of a key where a later one saw an older value."""
+def decreasing_revisions(history: History) -> list[tuple[Operation, Operation]]:
+    """Return pairs of reads where the later one saw a lower revision."""
     pairs = []
     reads = history.named('read')
     for first in reads:
@@ -132,7 +135,7 @@
 
 
 def check(history: History) -> None:
-    """Fail with what is wrong in a history."""
+    """Assert no duplicate run, lost write or decreasing revision."""
     assert not duplicate_runs(history)
     assert not lost_writes(history)
-    assert not went_back(history)
+    assert not decreasing_revisions(history)
--- a/tests/test_entry_stops.py
+++ b/tests/test_entry_stops.py
@@ -1,4 +1,4 @@
-"""Tests of planned stops, crashes of engines and what entries exchange."""
+"""Tests of graceful shutdowns, engine crashes, shares of limits and lending."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 TOKENS = 40
 
 
-async def callers_until(
+async def send_requests_until(
     fleet: Fleet,
     stopped: Callable[[], bool],
     answers: dict[str, Answer],
     entry: str,
     caller: int,
 ) -> None:
-    """Send one request after the other until the role has stopped."""
+    """Send requests one after another until `stopped` returns True."""
     number = 0
     while not stopped():
         prompt = f'caller {caller} request {number}'
@@ -37,16 +37,16 @@
         number += 1
 
 
-def assert_all_whole(answers: dict[str, Answer]) -> None:
-    """Check that no request was cut or refused."""
+def assert_all_complete(answers: dict[str, Answer]) -> None:
+    """Check that every request got its complete answer."""
     assert len(answers) > 10
     for prompt, answer in answers.items():
         assert answer.status == 200, answer.body
         assert answer.text == answer_text(prompt, TOKENS)
 
 
-def test_planned_stop_of_a_sidecar_under_load() -> None:
-    """Guards against requests that a leaving endpoint cuts or refuses."""
+def test_graceful_shutdown_of_a_sidecar_under_load() -> None:
+    """Guards against answers cut or refused when a sidecar shuts down."""
 
     async def scenario() -> None:
         async with make_fleet(engines=3) as fleet:
@@ -56,7 +56,7 @@
             async with anyio.create_task_group() as group:
                 for caller in range(12):
                     group.start_soon(
-                        callers_until,
+                        send_requests_until,
                         fleet,
                         role.done.is_set,
                         answers,
@@ -65,14 +65,14 @@
                     )
                 await until(lambda: len(engine.batch.ids()) > 2)
                 await role.stop()
-            assert_all_whole(answers)
+            assert_all_complete(answers)
             assert engine.counts.cancelled == 0
 
     anyio.run(scenario)
 
 
-def busy_with_long(fleet: Fleet) -> list[str]:
-    """Return the engines that run the long request."""
+def engines_running_long_request(fleet: Fleet) -> list[str]:
+    """Return the engines that run the request of 250 tokens."""
     return [
         name
         for name, engine in fleet.engines.items()
@@ -81,8 +81,8 @@
     ]
 
 
-def test_planned_stop_of_an_entry_under_load() -> None:
-    """Guards against callers that a stopping entry cuts off."""
+def test_graceful_shutdown_of_an_entry_under_load() -> None:
+    """Guards against answers cut or refused when an entry shuts down."""
     order: list[str] = []
 
     async def stop_part(entry: object) -> None:
@@ -105,7 +105,7 @@
             async with anyio.create_task_group() as group:
                 for caller in range(12):
                     group.start_soon(
-                        callers_until,
+                        send_requests_until,
                         fleet,
                         role.process.stopping.is_set,
                         answers,
@@ -115,10 +115,10 @@
                 await until(lambda: len(answers) > 10)
                 assert role.process.unready_reason() == ''
                 group.start_soon(ask_long)
-                await until(lambda: bool(busy_with_long(fleet)))
+                await until(lambda: bool(engines_running_long_request(fleet)))
                 await role.stop()
                 order.append('stopped')
-            assert_all_whole(answers)
+            assert_all_complete(answers)
             expected = answer_text('longer than the linger', 250)
             assert long_answers[0].text == expected
             assert role.process.unready_reason() == 'stopping'
@@ -130,7 +130,7 @@
 
 
 def test_entry_serves_while_it_lingers() -> None:
-    """Guards against refusals before the balancer has noticed the stop."""
+    """Guards against refusals while the load balancer still sends callers."""
 
     async def scenario() -> None:
         async with make_fleet(engines=1, entry={'linger_s': 2.0}) as fleet:
@@ -145,7 +145,7 @@
 
 
 def test_leaving_endpoint_gets_no_new_work() -> None:
-    """Guards against work for an endpoint that the list calls leaving."""
+    """Guards against work for an endpoint listed as leaving."""
 
     async def scenario() -> None:
         async with make_fleet(engines=2) as fleet:
@@ -166,8 +166,8 @@
     anyio.run(scenario)
 
 
-def test_engine_crash_resumes_elsewhere_and_tells_all_sidecars() -> None:
-    """Guards against lost answers and unknown suspects after a crash."""
+def test_engine_crash_resumes_elsewhere_and_is_sent_to_all_sidecars() -> None:
+    """Guards against lost answers and unshared crash records after a crash."""
 
     async def scenario() -> None:
         options = {'step_ms': 5.0}
@@ -197,7 +197,7 @@
 
 
 def test_crashing_request_is_refused_in_the_end() -> None:
-    """Guards against one request that takes down endpoint after endpoint."""
+    """Guards against a request that is retried until it crashed all engines."""
 
     async def scenario() -> None:
         options = {'restart_s': 0.2}
@@ -223,20 +223,20 @@
 
 
 def test_entries_divide_a_limit_by_demand() -> None:
-    """Guards against shares that stay even while one entry has the load."""
+    """Guards against equal shares of a limit despite unequal demand."""
 
     async def scenario() -> None:
         async with make_fleet(engines=1, entries=2) as fleet:
             limits = fleet.entry('entry-1').limits
             assert limits.share_of('barf') == 0.5
 
-            async def load() -> None:
+            async def send_load() -> None:
                 while True:
                     await fleet.ask('/v1/models', entry='entry-1')
                     await anyio.sleep(0.02)
 
             async with anyio.create_task_group() as group:
-                group.start_soon(load)
+                group.start_soon(send_load)
                 await until(lambda: limits.share_of('barf') > 0.8)
                 group.cancel_scope.cancel()
             other = fleet.entry('entry-2').limits
@@ -245,13 +245,13 @@
     anyio.run(scenario)
 
 
-@pytest.mark.parametrize('lent', [True, False])
-def test_online_work_is_lent_only_by_rule(lent: bool) -> None:
-    """Guards against borrowing without a rule, and rules without effect."""
+@pytest.mark.parametrize('has_rule', [True, False])
+def test_online_work_is_lent_only_by_rule(has_rule: bool) -> None:
+    """Guards against lending without a rule, and rules without effect."""
     rule = LendingRule(borrower='nightly', lender='orders', work='online')
     config = configuration(
         pools={'orders': Pool(model='model'), 'nightly': Pool(model='model')},
-        lending=(rule,) if lent else (),
+        lending=(rule,) if has_rule else (),
     )
 
     async def scenario() -> None:
@@ -262,6 +262,6 @@
             await until(lambda: sidecar.config.version > 0)
             body = {'model': 'nightly', 'prompt': 'lend', 'max_tokens': 3}
             answer = await fleet.ask('/v1/completions', body)
-            assert answer.status == (200 if lent else 503)
+            assert answer.status == (200 if has_rule else 503)
 
     anyio.run(scenario)
--- a/tests/test_event_query.py
+++ b/tests/test_event_query.py
@@ -1,4 +1,4 @@
-"""Tests of the selection of events."""
+"""Tests of the selection of events by text and limit."""
 
 from __future__ import annotations
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of the settings' checks and of their page."""
+"""Tests of the validation of settings and of their documentation page."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 PAGE = Path(__file__).parent.parent / 'docs' / 'operations' / 'settings.md'
 
-GOOD = {
+VALID_SETTINGS = {
     'instance': 's1',
     'failure_domain': 'a',
     'peer_address': '127.0.0.1:0',
@@ -28,7 +28,7 @@
 
 
 def test_settings_page_is_current() -> None:
-    """Guards against a page that names other flags than the program."""
+    """Guards against documented flags that differ from the program's."""
     assert PAGE.read_text() == render()
 
 
@@ -50,22 +50,22 @@
     changes: dict[str, str],
     places: list[str],
 ) -> None:
-    """Guards against a restart for each single mistake."""
-    loaded = load_settings(SidecarSettings, GOOD | changes, {})
+    """Guards against reporting only the first of several errors."""
+    loaded = load_settings(SidecarSettings, VALID_SETTINGS | changes, {})
     errors = loaded.err_value if isinstance(loaded, Err) else Errors()
     findings = sorted(errors.findings)
     assert [one.place.split(' ')[0] for one in findings] == places
 
 
 def test_findings_hold_no_secret() -> None:
-    """Guards against a secret in the output of a failed start."""
+    """Guards against secrets in the error output of a failed start."""
     flags = {'fleet_secret': 'sekrit', 'operator_key': 'sekrit-too'}
     loaded = load_settings(EntrySettings, flags, {})
     assert 'sekrit' not in loaded.unwrap_err().render()
 
 
-def test_flags_win_over_variables() -> None:
-    """Guards against a variable that silently overrides a flag."""
+def test_flags_take_precedence_over_variables() -> None:
+    """Guards against an environment variable that overrides a flag."""
     environ = {'QUETZALDYKE_POOL': 'other', 'QUETZALDYKE_MAX_STREAMS': '3'}
-    settings = load_settings(SidecarSettings, GOOD, environ).unwrap()
+    settings = load_settings(SidecarSettings, VALID_SETTINGS, environ).unwrap()
     assert (settings.pool, settings.max_streams) == ('orders', 3)
