--- a/src/quetzaldyke/connection/service_client.py
+++ b/src/quetzaldyke/connection/service_client.py
@@ -1,7 +1,7 @@
-"""Client of the plain service on this instance.
+"""HTTP client of a service on this instance that is not a model engine.
 
-Small answers travel in the closing message alone; the parts of a larger one
-are handed on as they arrive.
+A small response is returned as a whole, to be sent in the End message alone.
+A larger one is forwarded in chunks as they arrive.
 """
 
 from __future__ import annotations
@@ -14,31 +14,31 @@
 from result import Err, Ok, Result
 
 from quetzaldyke.connection.http_endpoint import (
-    BROKEN,
     CONTROL_TIMEOUT_S,
-    SERVER_ERROR,
+    FIRST_SERVER_ERROR_STATUS,
+    TRANSPORT_ERRORS,
     Answer,
-    Connections,
+    ConnectionPool,
     EndpointFailure,
-    failure_of,
-    headers_of,
+    classify_error,
     request_headers,
+    response_headers,
 )
 from quetzaldyke.connection.messages import Submit
 
-PART_BYTES: Final = 65536
+CHUNK_BYTES: Final = 65536
 
 
 @dataclass(slots=True)
 class ServiceClient:
-    """Connections to one plain service."""
+    """Client of one service."""
 
-    connections: Connections
+    connections: ConnectionPool
 
     async def healthy(self) -> bool:
-        """Tell whether the service answers its health check.
+        """Tell whether the service responds without a server error.
 
-        A service without a health path still proves that it is up.
+        A 404 is accepted, because a service without a health path is up too.
         """
         try:
             async with self.connections.stream(
@@ -47,16 +47,20 @@
                 read_s=CONTROL_TIMEOUT_S,
             ) as response:
                 await response.aread()
-        except BROKEN:
+        except TRANSPORT_ERRORS:
             return False
-        return response.status < SERVER_ERROR
+        return response.status < FIRST_SERVER_ERROR_STATUS
 
     async def run(
         self,
         submit: Submit,
-        on_raw: Callable[[bytes], Awaitable[None]],
+        on_chunk: Callable[[bytes], Awaitable[None]],
     ) -> Result[Answer, EndpointFailure]:
-        """Run one request and hand on parts of a large answer."""
+        """Run one request and pass full chunks of its body to `on_chunk`.
+
+        Returns the answer with the rest of the body. A failure tells whether
+        the request may have run.
+        """
         try:
             async with self.connections.stream(
                 submit.method,
@@ -64,21 +68,25 @@
                 request_headers(submit),
                 submit.body,
             ) as response:
-                rest = await pass_parts(response, on_raw)
-                return Ok(Answer(response.status, headers_of(response), rest))
-        except BROKEN as exc:
-            return Err(failure_of(exc))
+                remaining = await forward_chunks(response, on_chunk)
+                return Ok(
+                    Answer(
+                        response.status, response_headers(response), remaining
+                    )
+                )
+        except TRANSPORT_ERRORS as exc:
+            return Err(classify_error(exc))
 
 
-async def pass_parts(
+async def forward_chunks(
     response: httpcore.Response,
-    on_raw: Callable[[bytes], Awaitable[None]],
+    on_chunk: Callable[[bytes], Awaitable[None]],
 ) -> bytes:
-    """Hand on full parts of a body and return the rest."""
-    held = bytearray()
-    async for part in response.aiter_stream():
-        held += part
-        while len(held) >= PART_BYTES:
-            await on_raw(bytes(held[:PART_BYTES]))
-            del held[:PART_BYTES]
-    return bytes(held)
+    """Pass full chunks of a body to `on_chunk` and return the rest."""
+    buffered = bytearray()
+    async for chunk in response.aiter_stream():
+        buffered += chunk
+        while len(buffered) >= CHUNK_BYTES:
+            await on_chunk(bytes(buffered[:CHUNK_BYTES]))
+            del buffered[:CHUNK_BYTES]
+    return bytes(buffered)
--- a/src/quetzaldyke/process/sidecar_orders.py
+++ b/src/quetzaldyke/process/sidecar_orders.py
@@ -1,4 +1,4 @@
-"""Orders to the engine: nonce, fencing and one order at a time."""
+"""Executes orders to the engine: nonces, fencing, one order at a time."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 )
 from quetzaldyke.connection.peer import PeerSession
 from quetzaldyke.parts.fencing import FencingGate
-from quetzaldyke.process.endpoint_watch import EndpointWatch
+from quetzaldyke.process.endpoint_monitor import EndpointMonitor
 from quetzaldyke.process.logs import LogEvent
 
 
 @dataclass(slots=True)
-class Orders:
-    """Orders at one endpoint."""
+class OrderExecutor:
+    """Checks and executes the orders for one endpoint."""
 
     gate: FencingGate
-    watch: EndpointWatch
+    monitor: EndpointMonitor
     log_event: LogEvent
     lock: anyio.Lock = field(default_factory=anyio.Lock)
 
     def prepare(self, session: PeerSession, message: OrderPrepare) -> None:
-        """Answer with a nonce."""
+        """Reply with the nonce that the order must carry."""
         nonce = self.gate.issue_nonce(message.order_id)
         session.send(OrderNonce(message.order_id, nonce))
 
     def admit(self, session: PeerSession, order: Order) -> bool:
-        """Check an order at its arrival; tells the giver of a refusal."""
+        """Check an order on arrival; reply and return False if refused."""
         outcome = self.gate.admit(
             order.order_id,
             order.nonce,
@@ -46,28 +46,32 @@
             return False
         return True
 
-    async def carry_out(self, session: PeerSession, order: Order) -> None:
-        """Hand an admitted order to the engine and report its outcome."""
+    async def execute(self, session: PeerSession, order: Order) -> None:
+        """Execute an admitted order and send its outcome.
+
+        After a success, the engine's state is read again and the monitor is
+        woken.
+        """
         async with self.lock:
-            refusal = await self.give(order)
+            refusal = await self.send_to_engine(order)
             if not refusal:
-                await self.watch.read_state()
-                self.watch.ordered.set()
+                await self.monitor.read_engine_state()
+                self.monitor.order_executed.set()
         self.reply(session, order, refusal)
 
-    async def give(self, order: Order) -> str:
-        """Give the order; return why it was not carried out."""
-        client = self.watch.client
+    async def send_to_engine(self, order: Order) -> str:
+        """Send the order to the engine; return an error or an empty string."""
+        client = self.monitor.client
         if not isinstance(client, EngineClient):
             return 'the endpoint takes no orders'
-        # A newer order may have come while this one waited for its turn.
+        # A newer order may have been admitted while this one awaited the lock.
         if self.gate.stale(order.fencing_token):
             return 'token is stale'
-        outcome = await client.give_order(order)
+        outcome = await client.execute_order(order)
         return outcome.err_value.reason if isinstance(outcome, Err) else ''
 
     def reply(self, session: PeerSession, order: Order, refusal: str) -> None:
-        """Send the outcome of an order."""
+        """Log the outcome of an order and send it."""
         self.log_event(
             'order_done',
             order_id=order.order_id,
--- a/src/quetzaldyke/process/work.py
+++ b/src/quetzaldyke/process/tracked_request.py
@@ -1,4 +1,4 @@
-"""Requests that a sidecar holds, from arrival to their last message."""
+"""State of a sidecar's request, from its arrival to its last message."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 
 
 @dataclass(slots=True)
-class Work:
-    """One request and what it has produced."""
+class TrackedRequest:
+    """A request, its state and the output of this attempt."""
 
     submit: Submit
     answer: AnswerStream
     arrived_s: float
     deadline_s: float
     state: State = 'queued'
-    scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
+    cancel_scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
     stop_reason: str = ''
     stop_s: float = 0.0
     started_s: float = 0.0
     last_token_s: float = 0.0
     text: list[str] = field(default_factory=list)
     tokens: int = 0
-    # The endpoint ran nothing else at any time of this run.
-    alone: bool = False
+    # Whether the endpoint ran no other request at any time of this run.
+    ran_alone: bool = False
     ended: anyio.Event = field(default_factory=anyio.Event)
 
     @classmethod
@@ -43,8 +43,8 @@
         submit: Submit,
         session: PeerSession,
         now_s: float,
-    ) -> Work:
-        """Return the work of a request that arrived now."""
+    ) -> TrackedRequest:
+        """Return the state of a request that arrived at `now_s`."""
         return cls(
             submit,
             AnswerStream(session, submit.request_id),
@@ -53,22 +53,24 @@
         )
 
     @property
-    def batch(self) -> bool:
-        """Tell whether online work goes before this."""
+    def is_batch(self) -> bool:
+        """Tell whether this is a batch item, which yields to online work."""
         return self.submit.work == 'batch'
 
     @property
     def session(self) -> PeerSession:
-        """Return the connection that the request came on."""
+        """Return the connection on which the request arrived."""
         return self.answer.session
 
     @property
-    def progress(self) -> int:
-        """Return the tokens that a resumed run would have to read again."""
+    def resume_cost(self) -> int:
+        """Return the number of tokens that a resumed run has to read again."""
         return self.submit.resume_tokens + self.tokens
 
-    def failure(self, ran: Ran, reason: str, retry_after_ms: int = 0) -> Failed:
-        """Return a failure with the whole text of this attempt."""
+    def make_failed(
+        self, ran: Ran, reason: str, retry_after_ms: int = 0
+    ) -> Failed:
+        """Return a failure message with all the text of this attempt."""
         return Failed(
             self.submit.request_id,
             ran,
@@ -78,16 +80,19 @@
             self.tokens,
         )
 
-    def end(self) -> None:
-        """Note that nothing of the request runs any more."""
+    def mark_done(self) -> None:
+        """Mark the request as ended and wake the tasks that wait for it."""
         self.state = 'done'
         self.ended.set()
 
     def stop(self, reason: str, now_s: float) -> None:
-        """Cancel a running request; its slot is free when that is done."""
+        """Cancel a running request; a request in another state is left as is.
+
+        The slot becomes free when the request's task has ended it.
+        """
         if self.state != 'running':
             return
         self.state = 'stopping'
         self.stop_reason = reason
         self.stop_s = now_s
-        self.scope.cancel()
+        self.cancel_scope.cancel()
--- a/tests/test_sidecar_relay.py
+++ b/tests/test_sidecar_relay.py
@@ -9,18 +9,18 @@
 import pytest
 
 from quetzaldyke.connection.messages import Cancel, Window
-from sidecar_rig import make_rig, make_submit, until, whole
+from sidecar_rig import full_answer, make_rig, make_submit, until
 
 
 @pytest.mark.parametrize('tokens', [1, 8, 300])
-def test_whole_answer(tokens: int) -> None:
+def test_answer_is_complete(tokens: int) -> None:
     """Guards against lost, repeated or reordered text."""
 
     async def scenario() -> None:
         async with make_rig(engine={'step_ms': 0.5}) as rig:
             entry = await rig.entry()
             outcome = await entry.ask(make_submit('hello', tokens))
-            assert outcome.text == whole('hello', tokens)
+            assert outcome.text == full_answer('hello', tokens)
             assert outcome.end is not None
             assert outcome.end.completion_tokens == tokens
             assert outcome.end.finish_reason == 'length'
@@ -28,7 +28,7 @@
     anyio.run(scenario)
 
 
-def test_resumed_answer_is_whole() -> None:
+def test_resumed_answer_is_complete() -> None:
     """Guards against a resumption that repeats or skips tokens."""
 
     async def scenario() -> None:
@@ -38,11 +38,13 @@
                 make_submit(
                     'hello',
                     8,
-                    resume_text=whole('hello', 3),
+                    resume_text=full_answer('hello', 3),
                     resume_tokens=3,
                 ),
             )
-            assert whole('hello', 3) + outcome.text == whole('hello', 8)
+            assert full_answer('hello', 3) + outcome.text == full_answer(
+                'hello', 8
+            )
 
     anyio.run(scenario)
 
@@ -58,7 +60,7 @@
     ],
 )
 def test_refusals(changes: dict[str, object], ran: str, reason: str) -> None:
-    """Guards against running what must be refused, or refusing silently."""
+    """Guards against running invalid requests, or refusing without a reason."""
 
     async def scenario() -> None:
         async with make_rig() as rig:
@@ -87,7 +89,7 @@
 
 
 def test_engine_killed_in_mid_stream() -> None:
-    """Guards against passing a cut answer off as whole."""
+    """Guards against reporting a truncated answer as complete."""
 
     async def scenario() -> None:
         async with make_rig() as rig:
@@ -100,21 +102,21 @@
             assert outcome.failed is not None
             assert outcome.failed.ran == 'unknown'
             text = outcome.failed.partial_text
-            assert text == whole('hello', outcome.failed.partial_tokens)
+            assert text == full_answer('hello', outcome.failed.partial_tokens)
             assert text.startswith(outcome.text)
             refused = await entry.ask(make_submit())
             assert refused.failed is not None
             assert refused.failed.ran == 'not_run'
             rig.engine.faults.down = False
-            await until(lambda: rig.sidecar.watch.up)
+            await until(lambda: rig.sidecar.monitor.up)
             again = await entry.ask(make_submit())
-            assert again.text == whole('hello', 8)
+            assert again.text == full_answer('hello', 8)
 
     anyio.run(scenario)
 
 
-def test_slow_reader_stalls_nobody() -> None:
-    """Guards against one caller's backpressure reaching another request."""
+def test_slow_reader_does_not_stall_others() -> None:
+    """Guards against one caller's backpressure stalling another request."""
 
     async def scenario() -> None:
         async with make_rig(engine={'step_ms': 0.5}) as rig:
@@ -123,25 +125,25 @@
             call = entry.calls.begin(slow)
             await until(lambda: bool(rig.engine.counts.finished))
             await until(lambda: not rig.sidecar.admission.running)
-            work = rig.sidecar.streams.works[slow.request_id]
-            assert work.answer.credit == 0
+            request = rig.sidecar.runner.requests[slow.request_id]
+            assert request.answer.credit == 0
             other = await entry.ask(make_submit('other', 200))
-            assert other.text == whole('other', 200)
+            assert other.text == full_answer('other', 200)
             text = ''
             while not call.finished:
                 entry.send(Window(slow.request_id, 1))
                 await anyio.sleep(0.002)
-            async for event in call.source:
+            async for event in call.queue:
                 text += getattr(event, 'text', '')
-            assert text == whole('slow', 400)
-            assert slow.request_id not in rig.sidecar.streams.works
+            assert text == full_answer('slow', 400)
+            assert slow.request_id not in rig.sidecar.runner.requests
 
     anyio.run(scenario)
 
 
 @pytest.mark.parametrize('loses_connection', [False, True])
 def test_unwanted_requests_stop_at_the_engine(loses_connection: bool) -> None:
-    """Guards against slots held by answers that nobody reads."""
+    """Guards against slots held by requests whose answer nobody reads."""
 
     async def scenario() -> None:
         async with make_rig(engine={'keep_orphans': True}) as rig:
@@ -154,13 +156,13 @@
             else:
                 entry.send(Cancel(submit.request_id))
             await until(lambda: not rig.engine.batch.ids())
-            await until(lambda: not rig.sidecar.streams.works)
+            await until(lambda: not rig.sidecar.runner.requests)
 
     anyio.run(scenario)
 
 
 def test_orphans_are_cancelled_at_the_start() -> None:
-    """Guards against streams of a dead sidecar that hold slots for ever."""
+    """Guards against slots held for ever by streams of a crashed sidecar."""
 
     async def scenario() -> None:
         async with make_rig(engine={'keep_orphans': True}) as rig:
@@ -176,7 +178,7 @@
 
 
 def test_endpoint_that_was_restarted_gets_new_connections() -> None:
-    """Guards against requests lost on connections of a former process."""
+    """Guards against requests sent on connections to the previous process."""
 
     async def scenario() -> None:
         async with make_rig() as rig:
@@ -188,27 +190,27 @@
                 ]
                 for number, (outcome, done) in enumerate(answers):
                     await done.wait()
-                    assert outcome.text == whole(f'p{number}', 8)
+                    assert outcome.text == full_answer(f'p{number}', 8)
                 rig.engine.faults.down = True
-                await until(lambda: not rig.sidecar.watch.up)
+                await until(lambda: not rig.sidecar.monitor.up)
                 rig.engine.faults.down = False
-                await until(lambda: rig.sidecar.watch.up)
+                await until(lambda: rig.sidecar.monitor.up)
 
     anyio.run(scenario)
 
 
 def test_own_streams_are_no_orphans() -> None:
-    """Guards against live streams lost when a hung engine answers again."""
+    """Guards against cancelling live streams when a hung engine recovers."""
 
     async def scenario() -> None:
         async with make_rig() as rig:
             entry = await rig.entry()
             outcome, done = entry.begin(make_submit('hello', 100))
             await until(lambda: len(outcome.texts) > 1)
-            rig.sidecar.watch.up = False
-            await rig.sidecar.watch.come_up()
+            rig.sidecar.monitor.up = False
+            await rig.sidecar.monitor.bring_up()
             await done.wait()
-            assert outcome.text == whole('hello', 100)
+            assert outcome.text == full_answer('hello', 100)
 
     anyio.run(scenario)
 
@@ -226,16 +228,16 @@
             refused = await second.ask(submit)
             assert refused.failed is not None
             assert refused.failed.ran == 'not_run'
-            work = rig.sidecar.streams.works[submit.request_id]
-            assert work.session.remote.instance == 'entry-1'
+            request = rig.sidecar.runner.requests[submit.request_id]
+            assert request.session.remote.instance == 'entry-1'
             await done.wait()
-            assert outcome.text == whole('hello', 200)
+            assert outcome.text == full_answer('hello', 200)
 
     anyio.run(scenario)
 
 
 def test_sidecar_imports_no_server_library() -> None:
-    """Guards against the memory of libraries that a sidecar never uses."""
+    """Guards against memory spent on libraries that a sidecar never uses."""
     script = (
         'import sys, quetzaldyke.process.sidecar;'
         'print([n for n in ("uvicorn", "starlette", "fire")'
