--- a/src/quetzaldyke/process/explain.py
+++ b/src/quetzaldyke/process/explain.py
@@ -1,7 +1,7 @@
 """Describes the history of a request, item, job or patch in sentences.
 
-Support staff who don't know the system read the sentences out to callers, so
-each says what happened and, where that matters, whether the work ran.
+People who don't know the system read the sentences out to callers, so each
+says what happened and, where that matters, whether the work ran.
 """
 
 from __future__ import annotations
