--- a/src/quetzaldyke/connection/links.py
+++ b/src/quetzaldyke/connection/links.py
@@ -120,7 +120,10 @@
     options: LinkOptions,
     heartbeat: Heartbeat,
 ) -> None:
-    """Advance the clock and set the timeout from the announced interval."""
+    """Advance the clock and update the session's silence timeout.
+
+    It is a multiple of the longer of the peer's interval and our own.
+    """
     observe_stamp_row(options.clock, heartbeat.stamp)
     session.peer_interval_s = heartbeat.interval_ms / MS_IN_S
     # Both sides send at the longer of the two intervals.
--- a/src/quetzaldyke/durable/output.py
+++ b/src/quetzaldyke/durable/output.py
@@ -62,9 +62,10 @@
     job: JobRecord,
     failed: bool,
 ) -> AsyncIterator[bytes]:
-    """Yield the lines of the output or error file in input order.
+    """Yield the lines of a result file in input order, joined per segment.
 
-    `failed` selects the items that were recorded as failed.
+    `failed` selects the error file instead of the output file. Raises
+    `StoreReadError`.
     """
     for number, segment in enumerate(job.segments):
         found = await read_segment_results(store, job.job_id, number)
--- a/src/quetzaldyke/durable/service.py
+++ b/src/quetzaldyke/durable/service.py
@@ -240,7 +240,10 @@
         return Ok(found.ok_value)
 
     async def status(self, organisation: str, job_id: str) -> StatusResult:
-        """Return a job's record and progress figures."""
+        """Return a job's record and progress figures.
+
+        Fails for an unknown or expired job and when the store fails.
+        """
         found = await self.job(organisation, job_id)
         if isinstance(found, Err):
             return found
--- a/src/quetzaldyke/gateway/active_job.py
+++ b/src/quetzaldyke/gateway/active_job.py
@@ -83,7 +83,10 @@
     def candidates(
         self, now_s: float, estimator: RunTimeEstimator
     ) -> list[Candidate]:
-        """Return the items that are ready to start."""
+        """Return the items to start or resume, each marked if it is late.
+
+        These are neither running nor finished nor delayed for a retry.
+        """
         left_s = self.due_ms / MS_IN_S - time.time()
         return [
             Candidate(
--- a/src/quetzaldyke/gateway/http_client.py
+++ b/src/quetzaldyke/gateway/http_client.py
@@ -226,7 +226,7 @@
 
 
 @dataclass(slots=True)
-class AddressPool:
+class ConnectionPool:
     """Idle connections to one address, the most recently used last."""
 
     host: str
@@ -273,25 +273,26 @@
 class HttpClient:
     """HTTP client with one connection pool for each address."""
 
-    pools: dict[tuple[str, int], AddressPool] = field(default_factory=dict)
+    pools: dict[tuple[str, int], ConnectionPool] = field(default_factory=dict)
     active: set[Exchange] = field(default_factory=set)
     connections_opened: int = 0
 
-    def pool(self, host: str, port: int) -> AddressPool:
+    def pool(self, host: str, port: int) -> ConnectionPool:
         """Return the pool of an address, creating it if needed."""
         known = self.pools.get((host, port))
         if known is None:
-            known = self.pools[host, port] = AddressPool(host, port)
+            known = self.pools[host, port] = ConnectionPool(host, port)
         return known
 
     async def connect(
         self,
-        pool: AddressPool,
+        pool: ConnectionPool,
         timeout_s: float = CONNECT_TIMEOUT_S,
     ) -> Connection:
-        """Open a connection.
+        """Open a connection to the address of a pool.
 
-        Raises `ExchangeError` NOT_CONNECTED on an error or timeout.
+        It joins the pool when it is idle after a request. Raises
+        `ExchangeError` NOT_CONNECTED on an error or timeout.
         """
         loop = asyncio.get_running_loop()
         try:
--- a/src/quetzaldyke/gateway/job_table.py
+++ b/src/quetzaldyke/gateway/job_table.py
@@ -124,7 +124,7 @@
                 self.quota_revisions[name] = revision
 
     def view(self, job_id: str) -> JobView:
-        """Return the view of a job, which is new if the job is unknown."""
+        """Return the view of a job, adding an empty one for an unknown job."""
         view = self.jobs.get(job_id)
         if view is None:
             view = self.jobs[job_id] = JobView()
--- a/src/quetzaldyke/parts/claim_groups.py
+++ b/src/quetzaldyke/parts/claim_groups.py
@@ -182,7 +182,12 @@
         number: int,
         group: Sequence[Operation],
     ) -> GroupResult:
-        """Apply a group to the stored bucket, within `COMMIT_TIMEOUT_S`."""
+        """Apply a group to the stored bucket and set provisional results.
+
+        Conflicts are retried. Refuses if no operation needs a write. After
+        `COMMIT_TIMEOUT_S` it fails with `unknown` if a write may have been
+        sent, else with `unavailable`.
+        """
 
         def change(payload: bytes) -> bytes | Refused[str]:
             return apply_group(
@@ -232,7 +237,7 @@
 
 
 def requeue_unanswered(bucket: Bucket, group: Sequence[Operation]) -> None:
-    """Queue the unanswered operations again, before all others.
+    """Queue the unanswered operations first, marked as maybe written.
 
     An operation has no answer if the task that wrote it was cancelled.
     """
--- a/src/quetzaldyke/parts/claims.py
+++ b/src/quetzaldyke/parts/claims.py
@@ -157,8 +157,9 @@
     ) -> Result[None, ClaimError]:
         """Record the outcome of the caller's own claim; idempotent.
 
-        `retry_failed_writes` retries a failed write to the bucket, but not a
-        failed write of a large outcome to a key of its own.
+        Fails if the caller no longer has the claim or the store fails. A
+        failed write to the bucket is queued for `retry_failed_writes()`, but
+        not a failed write of a large outcome to a key of its own.
         """
         if len(outcome) > MAX_INLINE_BYTES:
             return await self.record_in_own_key(key_hash, claim_id, outcome)
--- a/src/quetzaldyke/parts/suspects.py
+++ b/src/quetzaldyke/parts/suspects.py
@@ -117,7 +117,12 @@
         return recorded - self.cleared.get(fingerprint, set())
 
     def verdict(self, fingerprint: str) -> Verdict:
-        """Return how a request with this fingerprint may run."""
+        """Return how a request may run, by its uncleared crashes.
+
+        It is `clear` after none, `apart` after one and `alone` after more. It
+        is `confirmed` after `CONFIRMING_CRASHES`, or if the request ran alone
+        in a crash after the first.
+        """
         uncleared_ids = self.uncleared_crashes(fingerprint)
         if not uncleared_ids:
             return 'clear'
--- a/src/quetzaldyke/request/once.py
+++ b/src/quetzaldyke/request/once.py
@@ -274,8 +274,9 @@
 ) -> list[AnswerEvent]:
     """Run a request and return all events, ending with an end or refusal.
 
-    Exceptions are logged and not raised, since the task runs in the entry's
-    task group and would otherwise stop the entry.
+    Sends all but this last event to the caller as they arrive. Exceptions are
+    logged and not raised, since the task runs in the entry's task group and
+    would otherwise stop the entry.
     """
     events: list[AnswerEvent] = []
     try:
--- a/src/quetzaldyke/request/routing.py
+++ b/src/quetzaldyke/request/routing.py
@@ -116,6 +116,7 @@
     """Return the candidate with the longest cached prefix, if any.
 
     Slow or full candidates, and those over the affinity bound, are skipped.
+    `candidates` must not be empty.
     """
     total = sum(candidate.load for candidate in candidates) + 1
     bound = math.ceil(AFFINITY_BOUND * total / len(candidates))
--- a/src/quetzaldyke/version/config_sync.py
+++ b/src/quetzaldyke/version/config_sync.py
@@ -82,7 +82,7 @@
         return cls(store, holder, fleet, clock, log_event, exchange)
 
     def subscribe(self, timers: TimerService) -> None:
-        """Subscribe to peers' messages, adopted versions and timers."""
+        """Subscribe to peers, their messages, the holder and the timers."""
         kinds = (
             Heartbeat,
             ConfigVersion,
--- a/src/quetzaldyke/version/placement.py
+++ b/src/quetzaldyke/version/placement.py
@@ -145,7 +145,9 @@
     since_ms: dict[str, int] = field(default_factory=dict)
 
     def lasting(self, surplus: Mapping[str, int], now_ms: int) -> list[str]:
-        """Return the pools short for MIN_SHORTAGE_MS, the worst first.
+        """Update the shortages; return those of MIN_SHORTAGE_MS, worst first.
+
+        All shortages end when no pool has a surplus.
 
         >>> shortages = ShortageTracker()
         >>> shortages.lasting({'a': -1, 'b': 2}, 0)
--- a/src/quetzaldyke/version/placement_controller.py
+++ b/src/quetzaldyke/version/placement_controller.py
@@ -214,7 +214,11 @@
         return outcome
 
     def start_load_orders(self, placement: Placement) -> None:
-        """Start load orders for misplaced endpoints, up to the load limit."""
+        """Start load orders for misplaced endpoints, up to the load limit.
+
+        A reserved load is ordered again, unless its order is still in progress
+        or an earlier leader's load may still be running.
+        """
         configuration = self.holder.current
         pools = managed_pools(configuration)
         waiting = [
@@ -310,8 +314,9 @@
         )
 
     async def reserve_load(self, instance: str) -> bool:
-        """Reserve a load slot; False if none is free or the epoch was lost.
+        """Reserve a load slot, or keep the one that the instance has.
 
+        Returns False if none is free, the epoch was lost or the store failed.
         This checks the stored epoch and must run after the nonce was issued.
         """
         limit = self.holder.current.weight_store.concurrent_loads
