--- a/src/quetzaldyke/gateway/batch_runner.py
+++ b/src/quetzaldyke/gateway/batch_runner.py
@@ -120,7 +120,7 @@
         self.schedule_soon()
 
     def deactivate(self, job_id: str, reason: str) -> None:
-        """Cancel an active job's runs and drop its unwritten results; log why."""
+        """Cancel an active job's runs and drop unwritten results; log why."""
         job = self.jobs.pop(job_id, None)
         if job is None:
             return
