--- a/src/quetzaldyke/standins/platform_endpoint.py
+++ b/src/quetzaldyke/standins/platform_endpoint.py
@@ -1,8 +1,9 @@
 """Simulates an endpoint on the platform: a model engine or plain service.
 
-Registers in the store, runs requests on a limited number of slots, and
-records every run, so that tests can detect duplicate or misplaced runs. The
-events of a stream depend only on the request, as resuming requires.
+Registers in the store, runs requests on a limited number of slots, normally
+in order of arrival, and records every run, so that tests can detect
+duplicate or misplaced runs. The events of a stream depend only on the
+request, as resuming requires.
 """
 
 from __future__ import annotations
