--- a/src/quetzaldyke/standins/engine_cache.py
+++ b/src/quetzaldyke/standins/engine_cache.py
@@ -1,4 +1,4 @@
-"""Prefix cache of the stand-in engine, with its late and lossy events."""
+"""Simulates an engine's prefix cache, with delayed and dropped events."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from dataclasses import dataclass, field
 from typing import Any, Final
 
-KEPT_EVENTS: Final = 10_000
+MAX_EVENTS: Final = 10_000
 
 
 @dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """One change of the cache."""
+    """A prefix that was stored or evicted, visible from `visible_s` on."""
 
     number: int
     prefix: str
@@ -22,12 +22,12 @@
 
 @dataclass(slots=True)
 class PrefixCache:
-    """Blocks in limited memory; the least recently used is evicted.
+    """A cache of prompt blocks with a fixed capacity and LRU eviction.
 
     >>> cache = PrefixCache(2, lambda: 0.0)
     >>> cache.store(['a', 'b'])
     >>> cache.store(['c'])
-    >>> cache.hits(['a', 'b'])
+    >>> cache.cached_prefix_count(['a', 'b'])
     1
     >>> [(one['kind'], one['prefix']) for one in cache.events_after(3)]
     [('evicted', 'b')]
@@ -36,16 +36,16 @@
     capacity: int
     now: Callable[[], float]
     event_lag_s: float = 0.0
-    # Each event whose number is a multiple of this is lost; 0 loses none.
-    gap_every: int = 0
+    # Drops events whose number is a multiple of this; 0 drops none.
+    drop_every: int = 0
     blocks: OrderedDict[str, None] = field(default_factory=OrderedDict)
     events: deque[CacheEvent] = field(
-        default_factory=lambda: deque(maxlen=KEPT_EVENTS),
+        default_factory=lambda: deque(maxlen=MAX_EVENTS),
     )
     next_number: int = 1
 
-    def hits(self, prefixes: list[str]) -> int:
-        """Return how many leading blocks are cached."""
+    def cached_prefix_count(self, prefixes: list[str]) -> int:
+        """Return the number of leading blocks that are cached."""
         count = 0
         for name in prefixes:
             if name not in self.blocks:
@@ -54,36 +54,36 @@
         return count
 
     def store(self, prefixes: list[str]) -> None:
-        """Cache the blocks of a prompt.
+        """Cache the blocks of a prompt and evict beyond the capacity.
 
-        Later blocks are useless without the earlier ones, so the earlier
-        ones count as used more recently.
+        A block is useless without the blocks before it, so earlier blocks
+        count as more recently used and are evicted later.
         """
         for name in reversed(prefixes):
             if name not in self.blocks:
-                self.note(name, 'stored')
+                self.record_event(name, 'stored')
             self.blocks[name] = None
             self.blocks.move_to_end(name)
         while len(self.blocks) > self.capacity:
             evicted, _ = self.blocks.popitem(last=False)
-            self.note(evicted, 'evicted')
+            self.record_event(evicted, 'evicted')
 
     def clear(self) -> None:
-        """Lose everything, as at a crash: no events tell of it."""
+        """Discard blocks and events, as in a crash, without new events."""
         self.blocks.clear()
         self.events.clear()
 
-    def note(self, prefix: str, kind: str) -> None:
-        """Record an event, or lose it."""
+    def record_event(self, prefix: str, kind: str) -> None:
+        """Record an event, unless its number is one to be dropped."""
         event_number = self.next_number
         self.next_number += 1
-        if self.gap_every and event_number % self.gap_every == 0:
+        if self.drop_every and event_number % self.drop_every == 0:
             return
         visible_s = self.now() + self.event_lag_s
         self.events.append(CacheEvent(event_number, prefix, kind, visible_s))
 
     def events_after(self, after: int) -> list[dict[str, Any]]:
-        """Return the visible events with a higher number."""
+        """Return the visible events numbered above `after`."""
         now_s = self.now()
         return [
             {'number': one.number, 'prefix': one.prefix, 'kind': one.kind}
--- a/src/quetzaldyke/standins/faults.py
+++ b/src/quetzaldyke/standins/faults.py
@@ -1,8 +1,8 @@
-"""What all stand-ins share: outages, broken answers and remote switches.
+"""Injects faults into stand-ins: outages, aborted responses and random faults.
 
-A stand-in that is down refuses connections, as a process that is gone
-does. `PUT /faults` changes the switches of a stand-in that runs as a
-process of its own; in one process they are plain attributes.
+A stand-in that is down refuses connections, like a stopped process. `PUT
+/faults` sets the fault switches of a stand-in in another process; within one
+process, tests set the attributes directly.
 """
 
 from __future__ import annotations
@@ -30,43 +30,49 @@
 )
 
 POLL_S: Final = 0.005
-DRAIN_S: Final = 2
+DRAIN_TIMEOUT_S: Final = 2
 
 
 @dataclass(slots=True)
-class Outage:
-    """Serves an app on one address and takes it down on demand."""
+class InterruptibleServer:
+    """Serves an app on one address, except while `is_down` returns True."""
 
     is_down: Callable[[], bool]
     stopping: anyio.Event = field(default_factory=anyio.Event)
-    # Set when the graceful stop is complete.
+    # Set once the graceful shutdown is complete.
     stopped: anyio.Event = field(default_factory=anyio.Event)
     address: str = ''
-    # The server that listens, or listened last.
+    # The current server, or the last one while the stand-in is down.
     http: HttpServer | None = None
     listening: bool = False
 
-    def break_answer(self, request: Request) -> Response:
-        """Break the connection of a request instead of answering it."""
+    def abort_connection(self, request: Request) -> Response:
+        """Abort the connection of a request.
+
+        The returned response is a placeholder for the framework.
+        """
         if self.http is not None and request.client is not None:
             host, port = request.client
             self.http.abort_connection((host, port))
         return Response(status_code=500)
 
-    def guard(self, app: App) -> App:
-        """Return an app that answers nothing once the stand-in is down.
+    def abort_when_down(self, app: App) -> App:
+        """Return an app that aborts connections while the stand-in is down.
 
-        The listener is closed a moment later than the switch is set.
+        This covers requests that arrive after the switch is set and before
+        the listener closes.
         """
 
-        async def guarded(scope: Scope, receive: Receive, send: Send) -> None:
+        async def abort_or_serve(
+            scope: Scope, receive: Receive, send: Send
+        ) -> None:
             if not self.is_down():
                 await app(scope, receive, send)
                 return
             request = Request(scope)
-            await self.break_answer(request)(scope, receive, send)
+            await self.abort_connection(request)(scope, receive, send)
 
-        return guarded
+        return abort_or_serve
 
     async def serve(
         self,
@@ -75,9 +81,12 @@
         *,
         task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Serve until stopped; refuses connections while it is down."""
+        """Serve until stopped; refuse connections while down.
+
+        Reports the task as started once the app first listens.
+        """
         self.address = address
-        reported = False
+        started = False
         while not self.stopping.is_set():
             if self.is_down():
                 await anyio.sleep(POLL_S)
@@ -85,45 +94,48 @@
             async with anyio.create_task_group() as group:
                 self.http = await group.start(
                     serve_http,
-                    self.guard(app),
-                    HttpOptions(self.address, DRAIN_S),
+                    self.abort_when_down(app),
+                    HttpOptions(self.address, DRAIN_TIMEOUT_S),
                     self.stopping,
                 )
                 self.address = self.http.address
                 self.listening = True
-                if not reported:
+                if not started:
                     task_status.started()
-                    reported = True
-                await self.wait_for_outage()
+                    started = True
+                await self.wait_until_down()
                 if not self.stopping.is_set():
                     group.cancel_scope.cancel()
             self.listening = False
         self.stopped.set()
 
-    async def wait_for_outage(self) -> None:
-        """Return when the stand-in goes down or is stopped."""
+    async def wait_until_down(self) -> None:
+        """Wait until the stand-in goes down or is stopped."""
         while not self.is_down() and not self.stopping.is_set():
             await anyio.sleep(POLL_S)
 
 
 @dataclass(slots=True)
-class Chance:
-    """Seeded random choices, so that a run can be repeated."""
+class SeededRandom:
+    """Random decisions from a fixed seed, so that runs are reproducible."""
 
     seed: int = 1
-    source: random.Random = field(init=False)
+    generator: random.Random = field(init=False)
 
     def __post_init__(self) -> None:
-        """Seed the source."""
-        self.source = random.Random(self.seed)
+        """Create the generator from the seed."""
+        self.generator = random.Random(self.seed)
 
-    def happens(self, ratio: float) -> bool:
-        """Return True in the given share of calls."""
-        return ratio > 0 and self.source.random() < ratio
+    def draw(self, ratio: float) -> bool:
+        """Return True with probability `ratio`."""
+        return ratio > 0 and self.generator.random() < ratio
 
 
 def set_faults(faults: Any, given: dict[str, Any]) -> str:
-    """Set known switches; returns the name of an unknown one, or ''."""
+    """Set fault switches; return the first unknown name, or ''.
+
+    Switches before the unknown one are set.
+    """
     names = {one.name for one in dataclasses.fields(faults)}
     for name, setting in given.items():
         if name not in names:
@@ -136,7 +148,7 @@
     faults: Any,
     counts: Callable[[], dict[str, Any]],
 ) -> list[Route]:
-    """Return the routes that switch faults and read the counters."""
+    """Return the routes that get and set faults and get the counters."""
 
     async def put_faults(request: Request) -> Response:
         unknown = set_faults(faults, await request.json())
--- a/src/quetzaldyke/standins/instances.py
+++ b/src/quetzaldyke/standins/instances.py
@@ -1,7 +1,7 @@
-"""Stand-in for the platform's list of instances, which lags.
+"""Simulates the platform's list of instances, including its delay.
 
-Changes come by `PUT` and `DELETE` or from a JSON file of the same shape as
-the answer, and show after the lag.
+Changes come from `PUT` and `DELETE` requests or from a JSON file in the
+format of the response. They become visible after a configured delay.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from starlette.responses import JSONResponse, Response
 from starlette.routing import Route
 
-from quetzaldyke.standins.faults import Outage, control_routes
+from quetzaldyke.standins.faults import InterruptibleServer, control_routes
 
 FILE_POLL_S: Final = 0.2
 FIELDS: Final = (
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstancesOptions:
-    """Options of the stand-in."""
+    """Options of the simulated instance list."""
 
     address: str = '127.0.0.1:0'
     lag_s: float = 0.0
@@ -46,22 +46,22 @@
 
 @dataclass(slots=True)
 class InstancesFaults:
-    """Switches; all off at the start."""
+    """Fault switches, all off initially."""
 
     down: bool = False
-    # Answers with the list as it is; later changes don't show.
+    # Serves the current list; pending changes do not become visible.
     frozen: bool = False
 
 
 @dataclass(slots=True)
 class InstancesStandin:
-    """A running stand-in."""
+    """A simulated instance list: its options, faults, rows and server."""
 
     options: InstancesOptions
     faults: InstancesFaults
-    outage: Outage
+    server: InterruptibleServer
     rows: dict[str, Row] = field(default_factory=dict)
-    # Changes that don't show yet: time, name, and the row or None.
+    # Changes not yet visible: due time, name, and the row or None to remove.
     pending: deque[tuple[float, str, Row | None]] = field(
         default_factory=deque,
     )
@@ -71,20 +71,20 @@
     @property
     def address(self) -> str:
         """Return the bound address."""
-        return self.outage.address
+        return self.server.address
 
     @property
     def stopping(self) -> anyio.Event:
-        """Return the event that stops the stand-in."""
-        return self.outage.stopping
+        """Return the event that stops the stand-in once it is set."""
+        return self.server.stopping
 
     def change(self, name: str, row: Row | None) -> None:
-        """Set or remove (None) a row; it shows after the lag."""
+        """Set a row, or remove it if None; visible after the delay."""
         due_s = time.monotonic() + self.options.lag_s
         self.pending.append((due_s, name, row))
 
-    def listed(self) -> list[Row]:
-        """Return the rows that show now, ordered by name."""
+    def visible_rows(self) -> list[Row]:
+        """Apply the changes that are due and return the rows by name."""
         now_s = time.monotonic()
         while not self.faults.frozen and self.pending:
             due_s, name, row = self.pending[0]
@@ -97,32 +97,35 @@
                 self.rows[name] = row
         return [self.rows[name] for name in sorted(self.rows)]
 
-    def read_text(self, text: str) -> None:
-        """Adopt the contents of the file when they have changed."""
+    def apply_text(self, text: str) -> None:
+        """Queue the changes of the file, if its text has changed.
+
+        Raises `ValueError` or `KeyError` if the text is malformed.
+        """
         if text == self.file_text:
             return
         rows = json.loads(text)['instances']
         self.file_text = text
-        named = {row['instance']: complete_row(row) for row in rows}
+        named = {row['instance']: row_with_defaults(row) for row in rows}
         for name in set(self.rows) - set(named):
             self.change(name, None)
         for name, row in named.items():
             self.change(name, row)
 
 
-def complete_row(given: dict[str, Any]) -> Row:
-    """Return a row with all fields; the state is live by default."""
+def row_with_defaults(given: dict[str, Any]) -> Row:
+    """Return a row with all fields; the state defaults to `live`."""
     row = {name: str(given.get(name, '')) for name in FIELDS}
     row['state'] = row['state'] or 'live'
     return row
 
 
 async def poll_file(standin: InstancesStandin) -> None:
-    """Follow the file; one that is being written is read again later."""
+    """Poll the file for changes; retry if it is missing or half-written."""
     path = anyio.Path(Path(standin.options.file))
     while True:
         try:
-            standin.read_text(await path.read_text())
+            standin.apply_text(await path.read_text())
         except (OSError, ValueError, KeyError):
             await anyio.sleep(0)
         await anyio.sleep(FILE_POLL_S)
@@ -133,11 +136,11 @@
 
     async def get_list(_request: Request) -> Response:
         standin.reads += 1
-        return JSONResponse({'instances': standin.listed()})
+        return JSONResponse({'instances': standin.visible_rows()})
 
     async def put_row(request: Request) -> Response:
         name = request.path_params['name']
-        row = complete_row({**(await request.json()), 'instance': name})
+        row = row_with_defaults({**(await request.json()), 'instance': name})
         standin.change(name, row)
         return JSONResponse(row)
 
@@ -164,15 +167,17 @@
 ) -> None:
     """Run the stand-in until it is stopped or cancelled."""
     faults = InstancesFaults()
-    standin = InstancesStandin(options, faults, Outage(lambda: faults.down))
+    standin = InstancesStandin(
+        options, faults, InterruptibleServer(lambda: faults.down)
+    )
     async with anyio.create_task_group() as group:
         if options.file:
             group.start_soon(poll_file, standin)
         await group.start(
-            standin.outage.serve,
+            standin.server.serve,
             make_app(standin),
             options.address,
         )
         task_status.started(standin)
-        await standin.outage.stopped.wait()
+        await standin.server.stopped.wait()
         group.cancel_scope.cancel()
--- a/src/quetzaldyke/standins/kv.py
+++ b/src/quetzaldyke/standins/kv.py
@@ -1,8 +1,8 @@
-"""Stand-in for the platform's key-value service.
+"""Simulates the platform's key-value service.
 
-Speaks a subset of the etcd v3 JSON gateway: range, transactions with one
-revision compare and one put or delete, leases, and streaming watches.
-Every call is counted by kind, and faults can be switched while it runs.
+Serves a subset of the etcd v3 JSON gateway: range reads, transactions with
+one revision compare and one put or delete, leases, and streaming watches.
+Calls are counted by kind, and faults can be switched at run time.
 """
 
 from __future__ import annotations
@@ -19,16 +19,20 @@
 from starlette.responses import JSONResponse, Response, StreamingResponse
 from starlette.routing import Route
 
-from quetzaldyke.standins.faults import Chance, Outage, control_routes
+from quetzaldyke.standins.faults import (
+    InterruptibleServer,
+    SeededRandom,
+    control_routes,
+)
 from quetzaldyke.standins.kv_calls import (
     CALLS,
     Body,
-    CallFailed,
+    KvCallError,
     KvCounts,
-    decode,
+    bytes_field,
     event_body,
     header,
-    number,
+    int_field,
 )
 from quetzaldyke.standins.kv_state import KeyEvent, KvState, in_range
 
@@ -38,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KvOptions:
-    """Options of the stand-in."""
+    """Options of the simulated service."""
 
     address: str = '127.0.0.1:0'
     seed: int = 1
@@ -46,66 +50,66 @@
 
 @dataclass(slots=True)
 class KvFaults:
-    """Switches; all off at the start."""
+    """Fault switches, all off initially."""
 
-    # Refuses connections and breaks open ones.
+    # Refuses new connections and aborts open ones.
     down: bool = False
-    # Wait before a call is looked at. A client that gives up earlier can
-    # still have its write applied afterwards.
+    # Delay before a call is processed. A write can be applied after its client
+    # has timed out.
     delay_s: float = 0.0
-    # Share of the calls that `delay_s` applies to.
+    # Fraction of calls that `delay_s` applies to.
     delay_ratio: float = 1.0
-    # The next writes are applied and their answers lost.
+    # Number of next writes that are applied without a response.
     lose_answers: int = 0
-    # Share of the writes that are applied with the answer lost.
+    # Fraction of writes that are applied without a response.
     lose_answers_ratio: float = 0.0
-    # Share of the calls whose connection breaks before anything is applied.
+    # Fraction of calls whose connection is aborted before they are applied.
     drop_ratio: float = 0.0
-    # Leases end this long before their time.
+    # Leases expire this long before their deadline.
     expire_early_s: float = 0.0
 
 
 @dataclass(slots=True)
 class KvStandin:
-    """A running stand-in."""
+    """A simulated service: its faults, counters, state and server."""
 
     faults: KvFaults
     counts: KvCounts
     state: KvState
-    outage: Outage
-    chance: Chance
+    server: InterruptibleServer
+    rng: SeededRandom
 
     @property
     def address(self) -> str:
         """Return the bound address."""
-        return self.outage.address
+        return self.server.address
 
     @property
     def stopping(self) -> anyio.Event:
-        """Return the event that stops the stand-in."""
-        return self.outage.stopping
+        """Return the event that stops the stand-in once it is set."""
+        return self.server.stopping
 
 
-async def answer_call(standin: KvStandin, request: Request) -> Response:
-    """Run one call with the faults that are on."""
+async def handle_call(standin: KvStandin, request: Request) -> Response:
+    """Process a call other than a watch, subject to the active faults."""
     body = await request.json()
     faults = standin.faults
-    if faults.delay_s and standin.chance.happens(faults.delay_ratio):
+    if faults.delay_s and standin.rng.draw(faults.delay_ratio):
         await anyio.sleep(faults.delay_s)
-    if faults.down or standin.chance.happens(faults.drop_ratio):
-        return standin.outage.break_answer(request)
+    if faults.down or standin.rng.draw(faults.drop_ratio):
+        return standin.server.abort_connection(request)
     path = request.url.path
     try:
         answer = CALLS[path](standin.state, standin.counts, body)
-    except CallFailed as exc:
-        return error_answer(exc)
-    if path not in READ_PATHS and loses_answer(standin):
-        return standin.outage.break_answer(request)
+    except KvCallError as exc:
+        return error_response(exc)
+    if path not in READ_PATHS and should_lose_answer(standin):
+        return standin.server.abort_connection(request)
     return JSONResponse(answer)
 
 
-def error_answer(exc: CallFailed) -> Response:
-    """Return an error as the gateway writes it."""
+def error_response(exc: KvCallError) -> Response:
+    """Return an error response in the format of the etcd gateway."""
     message = str(exc)
     return JSONResponse(
         {'error': message, 'code': exc.code, 'message': message},
@@ -113,16 +117,16 @@
     )
 
 
-def loses_answer(standin: KvStandin) -> bool:
-    """Tell whether the answer of an applied write gets lost."""
+def should_lose_answer(standin: KvStandin) -> bool:
+    """Return whether to drop the response to an applied write."""
     if standin.faults.lose_answers > 0:
         standin.faults.lose_answers -= 1
         return True
-    return standin.chance.happens(standin.faults.lose_answers_ratio)
+    return standin.rng.draw(standin.faults.lose_answers_ratio)
 
 
-async def answer_watch(standin: KvStandin, request: Request) -> Response:
-    """Open a watch, one JSON object a line."""
+async def handle_watch(standin: KvStandin, request: Request) -> Response:
+    """Open a watch that streams one JSON object per line."""
     body = await request.json()
     if standin.faults.delay_s:
         await anyio.sleep(standin.faults.delay_s)
@@ -131,16 +135,16 @@
     return StreamingResponse(
         watch_lines(
             standin,
-            decode(create, 'key'),
-            decode(create, 'range_end'),
-            number(create, 'start_revision'),
+            bytes_field(create, 'key'),
+            bytes_field(create, 'range_end'),
+            int_field(create, 'start_revision'),
         ),
         media_type='application/json',
     )
 
 
 def watch_line(state: KvState, fields: Body) -> str:
-    """Return one line of a watch's answer."""
+    """Return one line of a watch response."""
     return f'{json.dumps({"result": {"header": header(state), **fields}})}\n'
 
 
@@ -150,7 +154,10 @@
     range_end: bytes,
     start_revision: int,
 ) -> AsyncIterator[str]:
-    """Yield the changes of a range from a revision on."""
+    """Yield the changes of a range from a revision on.
+
+    Ends with a cancellation if that revision has been compacted.
+    """
     state = standin.state
     next_revision = start_revision or state.revision + 1
     standin.counts.open_watches += 1
@@ -165,7 +172,7 @@
                 }
                 yield watch_line(state, fields)
                 return
-            events = matching(state, key, range_end, next_revision)
+            events = events_in_range(state, key, range_end, next_revision)
             next_revision = state.revision + 1
             if events:
                 rows = [event_body(one) for one in events]
@@ -175,7 +182,7 @@
         standin.counts.open_watches -= 1
 
 
-def matching(
+def events_in_range(
     state: KvState,
     key: bytes,
     range_end: bytes,
@@ -191,7 +198,7 @@
 
 
 async def expire_leases(standin: KvStandin) -> None:
-    """End leases at their time."""
+    """Revoke expired leases periodically."""
     while True:
         await anyio.sleep(EXPIRY_POLL_S)
         standin.state.expire_leases(standin.faults.expire_early_s)
@@ -201,10 +208,10 @@
     """Return the HTTP app of a stand-in."""
 
     async def call(request: Request) -> Response:
-        return await answer_call(standin, request)
+        return await handle_call(standin, request)
 
     async def watch(request: Request) -> Response:
-        return await answer_watch(standin, request)
+        return await handle_watch(standin, request)
 
     routes = [Route(path, call, methods=['POST']) for path in CALLS]
     routes.append(Route('/v3/watch', watch, methods=['POST']))
@@ -213,14 +220,14 @@
 
 
 def make_standin(options: KvOptions) -> KvStandin:
-    """Return a stand-in that is not yet served."""
+    """Return a stand-in that does not serve requests yet."""
     faults = KvFaults()
     return KvStandin(
         faults,
         KvCounts(),
         KvState(),
-        Outage(lambda: faults.down),
-        Chance(options.seed),
+        InterruptibleServer(lambda: faults.down),
+        SeededRandom(options.seed),
     )
 
 
@@ -234,10 +241,10 @@
     async with anyio.create_task_group() as group:
         group.start_soon(expire_leases, standin)
         await group.start(
-            standin.outage.serve,
+            standin.server.serve,
             make_app(standin),
             options.address,
         )
         task_status.started(standin)
-        await standin.outage.stopped.wait()
+        await standin.server.stopped.wait()
         group.cancel_scope.cancel()
--- a/src/quetzaldyke/standins/platform_endpoint.py
+++ b/src/quetzaldyke/standins/platform_endpoint.py
@@ -1,9 +1,9 @@
-"""Stand-in for an endpoint on the platform: a model engine or plain service.
+"""Simulates an endpoint on the platform: a model engine or plain service.
 
-It registers itself in the store, runs requests on a few slots in order of
-arrival, and keeps a record of every run, so that a test can see what ran
-twice or where it should not have. The events of a stream depend only on the
-request, as those of a resumed run must.
+Registers in the store, runs requests on a limited number of slots, normally
+in order of arrival, and records every run, so that tests can detect
+duplicate or misplaced runs. The events of a stream depend only on the
+request, as resuming requires.
 """
 
 from __future__ import annotations
@@ -33,10 +33,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformEndpointOptions:
-    """Options of the stand-in."""
+    """Options of the simulated endpoint."""
 
     address: str = '127.0.0.1:0'
-    # Where it registers; nowhere when empty.
+    # Store to register in; empty to not register.
     store_address: str = ''
     endpoint_id: str = 'i-1'
     service: str = 'lm'
@@ -44,26 +44,26 @@
     slots: int = 4
     events: int = 10
     event_ms: float = 5.0
-    # Answers with one body in place of a stream.
+    # Returns a single body instead of an event stream.
     plain: bool = False
 
 
 @dataclass(slots=True)
 class EndpointFaults:
-    """Switches; all off at the start."""
+    """Fault switches, all off initially."""
 
-    # Breaks each stream off after this many events; 0 for never.
+    # Aborts each stream after this many events; 0 disables this.
     break_after: int = 0
-    # Answers 500 to every request.
+    # Fails every request with status 500.
     fail: bool = False
-    # Answers nothing.
+    # Never responds to requests.
     silent: bool = False
     draining: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class RunRecord:
-    """One run of a request."""
+    """A run of a request, from `first_event` on."""
 
     request_id: str
     path: str
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True)
 class PlatformEndpointStandin:
-    """A running stand-in."""
+    """A simulated endpoint: its options, faults, slots and run records."""
 
     options: PlatformEndpointOptions
     faults: EndpointFaults = field(default_factory=EndpointFaults)
@@ -83,26 +83,26 @@
     runs: list[RunRecord] = field(default_factory=list)
     running: int = 0
     queued: int = 0
-    most_running: int = 0
-    born_ms: int = field(default_factory=lambda: int(time.time() * MS_IN_S))
-    free: anyio.Event = field(default_factory=anyio.Event)
+    peak_running: int = 0
+    started_ms: int = field(default_factory=lambda: int(time.time() * MS_IN_S))
+    slot_freed: anyio.Event = field(default_factory=anyio.Event)
 
     def routes(self) -> list[Route]:
-        """Return the routes of tests and of callers."""
+        """Return the control routes and the route that runs requests."""
         return [
             Route('/faults', self.set_faults, methods=['POST']),
-            Route('/runs', self.show_runs),
+            Route('/runs', self.get_runs),
             Route('/{path:path}', self.serve, methods=list(METHODS)),
         ]
 
     async def set_faults(self, request: Request) -> Response:
-        """Switch faults on and off."""
+        """Set fault switches."""
         for name, setting in orjson.loads(await request.body()).items():
             setattr(self.faults, name, setting)
         return Response()
 
-    async def show_runs(self, request: Request) -> Response:
-        """Show every run so far."""
+    async def get_runs(self, request: Request) -> Response:
+        """Return all runs so far and the peak concurrency."""
         rows = [
             {
                 'id': one.request_id,
@@ -114,12 +114,16 @@
             for one in self.runs
         ]
         return Response(
-            orjson.dumps({'runs': rows, 'most': self.most_running}),
+            orjson.dumps({'runs': rows, 'most': self.peak_running}),
             media_type='application/json',
         )
 
     async def serve(self, request: Request) -> Response:
-        """Run a request, or say that it does not run."""
+        """Run a request, or refuse it.
+
+        Returns 421 if another instance was expected, 503 if the queue is full
+        and 400 without an attempt id; none of these has run.
+        """
         request_id = request.headers.get('attempt-id', '')
         expected = request.headers.get('expect-instance')
         if expected is not None and expected != self.options.endpoint_id:
@@ -133,7 +137,7 @@
             status = 503 if request_id else 400
             return Response(status_code=status, headers={'Not-Executed': '1'})
         body = await request.body()
-        await self.take_slot()
+        await self.acquire_slot()
         first = int(request.headers.get('last-event-id', '0')) + 1
         self.runs.append(
             RunRecord(
@@ -146,64 +150,69 @@
         )
         headers = {'Attempt-Id': request_id, 'Response-Signature': 'proof'}
         if self.faults.fail:
-            self.give_slot()
+            self.release_slot()
             return Response(status_code=500, headers=headers)
         if self.options.plain:
-            return await self.plain_answer(request_id, headers)
+            return await self.plain_response(request_id, headers)
         return StreamingResponse(
             self.stream(request_id, first),
             headers=headers,
             media_type='text/event-stream',
         )
 
-    async def take_slot(self) -> None:
-        """Wait for a slot."""
+    async def acquire_slot(self) -> None:
+        """Wait for a free slot and occupy it."""
         self.queued += 1
         try:
             while self.running >= self.options.slots:
-                await self.free.wait()
+                await self.slot_freed.wait()
         finally:
             self.queued -= 1
         self.running += 1
-        self.most_running = max(self.most_running, self.running)
+        self.peak_running = max(self.peak_running, self.running)
 
-    def give_slot(self) -> None:
-        """Free a slot."""
+    def release_slot(self) -> None:
+        """Release a slot and wake the waiting requests."""
         self.running -= 1
-        self.free.set()
-        self.free = anyio.Event()
+        self.slot_freed.set()
+        self.slot_freed = anyio.Event()
 
-    async def plain_answer(
+    async def plain_response(
         self,
         request_id: str,
         headers: dict[str, str],
     ) -> Response:
-        """Answer with one body."""
+        """Return a single body and release the slot."""
         try:
             await anyio.sleep(self.options.event_ms / MS_IN_S)
             return Response(f'done {request_id}', headers=headers)
         finally:
-            self.give_slot()
+            self.release_slot()
 
     async def stream(
         self,
         request_id: str,
         first: int,
     ) -> AsyncIterator[bytes]:
-        """Yield the events of a run."""
+        """Yield the events from `first` on and release the slot.
+
+        Raises `ConnectionResetError` where the `break_after` fault applies.
+        """
         try:
             for number in range(first, self.options.events + 1):
                 await anyio.sleep(self.options.event_ms / MS_IN_S)
                 yield event_of(request_id, number)
                 broken = self.faults.break_after
                 if broken and number - first + 1 >= broken:
-                    raise ConnectionResetError('broken off on purpose')
+                    raise ConnectionResetError(
+                        'stream aborted by the break_after fault'
+                    )
         finally:
-            self.give_slot()
+            self.release_slot()
 
 
 def event_of(request_id: str, number: int) -> bytes:
-    r"""Return one event of a request.
+    r"""Return the server-sent event `number` of a request.
 
     >>> event_of('r', 2)
     b'id: 2\ndata: r/2\n\n'
@@ -211,10 +220,10 @@
     return f'id: {number}\ndata: {request_id}/{number}\n\n'.encode()
 
 
-def whole_output(request_id: str, events: int) -> str:
-    r"""Return the data of all events of a request.
+def expected_output(request_id: str, events: int) -> str:
+    r"""Return the complete output of a request, its events' data joined.
 
-    >>> whole_output('r', 2)
+    >>> expected_output('r', 2)
     'r/1\nr/2'
     """
     lines = (f'{request_id}/{number}' for number in range(1, events + 1))
@@ -222,42 +231,47 @@
 
 
 async def register(standin: PlatformEndpointStandin) -> None:
-    """Keep the entry of this endpoint in the store."""
+    """Keep this endpoint registered in the store, until cancelled."""
     lease = 0
     async with httpcore.AsyncConnectionPool() as pool:
         while True:
             try:
-                lease = await beat(standin, pool, lease)
+                lease = await renew_registration(standin, pool, lease)
             except (httpcore.NetworkError, httpcore.ProtocolError, OSError):
                 lease = 0
             await anyio.sleep(HEARTBEAT_S)
 
 
-async def beat(
+async def renew_registration(
     standin: PlatformEndpointStandin,
     pool: httpcore.AsyncConnectionPool,
     lease: int,
 ) -> int:
-    """Renew the lease or write the entry anew; return the lease."""
+    """Renew the lease or register again; return the lease, 0 on failure.
+
+    Registers on every call while draining.
+    """
     if lease and not standin.faults.draining:
-        kept = await call(standin, pool, f'kv-keep/{lease}', {})
+        kept = await call_store(standin, pool, f'kv-keep/{lease}', {})
         if kept is not None:
             return lease
-    granted = await call(standin, pool, 'kv-lease', {'ttl-ms': LEASE_S * 1000})
+    granted = await call_store(
+        standin, pool, 'kv-lease', {'ttl-ms': LEASE_S * 1000}
+    )
     if granted is None:
         return 0
     lease = granted['lease']
     put = {
         'key': f'servers/{standin.options.endpoint_id}',
-        'value': base64.b64encode(entry_of(standin)).decode('ascii'),
+        'value': base64.b64encode(registration_entry(standin)).decode('ascii'),
         'lease': lease,
     }
-    written = await call(standin, pool, 'kv-txn', {'puts': [put]})
+    written = await call_store(standin, pool, 'kv-txn', {'puts': [put]})
     return lease if written is not None else 0
 
 
-def entry_of(standin: PlatformEndpointStandin) -> bytes:
-    """Return the entry of an endpoint."""
+def registration_entry(standin: PlatformEndpointStandin) -> bytes:
+    """Return the registration of an endpoint as JSON."""
     options = standin.options
     return orjson.dumps(
         {
@@ -269,18 +283,18 @@
             'state': 'draining' if standin.faults.draining else 'ready',
             'cold-left-ms': 0,
             'call-seq': 0,
-            'born': standin.born_ms,
+            'born': standin.started_ms,
         },
     )
 
 
-async def call(
+async def call_store(
     standin: PlatformEndpointStandin,
     pool: httpcore.AsyncConnectionPool,
     path: str,
     body: object,
 ) -> Any:
-    """Call the store; None when it refuses."""
+    """Call the store; return None unless the status is 200."""
     answer = await pool.request(
         'POST',
         f'http://{standin.options.store_address}/quetzaldyke/{path}',
--- a/src/quetzaldyke/standins/serving.py
+++ b/src/quetzaldyke/standins/serving.py
@@ -1,4 +1,4 @@
-"""Serves a stand-in until it is told to stop."""
+"""Runs the HTTP server of a stand-in until it is stopped."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class Standin(Protocol):
-    """What serving needs of a stand-in."""
+    """The interface of a stand-in that can be served."""
 
     stopping: anyio.Event
-    # Set once it accepts connections.
+    # Set once the server accepts connections.
     address: str
 
     def routes(self) -> list[Route]:
-        """Return the routes that it serves."""
+        """Return the routes to serve."""
 
 
 StandinT = TypeVar('StandinT', bound=Standin)
@@ -30,10 +30,10 @@
 async def serve_standin(
     standin: StandinT,
     address: str,
-    work: Callable[[StandinT], Coroutine[Any, Any, None]] | None,
+    background_task: Callable[[StandinT], Coroutine[Any, Any, None]] | None,
     task_status: TaskStatus[StandinT],
 ) -> None:
-    """Serve and work beside it until `stopping` is set."""
+    """Serve a stand-in and run its background task until it is stopped."""
     async with anyio.create_task_group() as group:
         http = await group.start(
             serve_http,
@@ -42,8 +42,8 @@
             standin.stopping,
         )
         standin.address = http.address
-        if work is not None:
-            group.start_soon(work, standin)
+        if background_task is not None:
+            group.start_soon(background_task, standin)
         task_status.started(standin)
         await standin.stopping.wait()
         group.cancel_scope.cancel()
