--- a/src/quetzaldyke/commands/arrivals.py
+++ b/src/quetzaldyke/commands/arrivals.py
@@ -12,9 +12,9 @@
 from typing import Final
 
 # Callers share prompt prefixes: each conversation repeats its opening.
-PREFIXES: Final = 12
+PREFIX_COUNT: Final = 12
 PREFIX_WORDS: Final = 60
-MAX_TAIL_WORDS: Final = 40
+MAX_OWN_WORDS: Final = 40
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,24 +65,24 @@
 
 def arrivals(plan: LoadPlan) -> Iterator[Arrival]:
     """Yield the requests of a run; the same seed gives the same requests."""
-    source = random.Random(plan.seed)  # noqa: S311
+    rng = random.Random(plan.seed)  # noqa: S311
     at_s = 0.0
     number = 0
     while True:
-        at_s += source.expovariate(plan.rate_at(at_s))
+        at_s += rng.expovariate(plan.rate_at(at_s))
         if at_s >= plan.duration_s:
             return
         number += 1
-        tail = source.randint(1, MAX_TAIL_WORDS)
-        words = ' '.join(f'r{number}t{word}' for word in range(tail))
-        opening = prefix_text(source.randrange(PREFIXES))
-        tokens = source.randint(
+        word_count = rng.randint(1, MAX_OWN_WORDS)
+        words = ' '.join(f'r{number}t{word}' for word in range(word_count))
+        prefix = prefix_text(rng.randrange(PREFIX_COUNT))
+        tokens = rng.randint(
             max(1, plan.mean_tokens // 2),
             plan.mean_tokens * 3 // 2,
         )
         yield Arrival(
             at_s,
-            f'{opening} {words}',
+            f'{prefix} {words}',
             tokens,
             plan.in_burst(at_s),
         )
--- a/src/quetzaldyke/commands/bench.py
+++ b/src/quetzaldyke/commands/bench.py
@@ -21,7 +21,7 @@
 import httpcore
 
 from quetzaldyke.commands.arrivals import Arrival, Burst, LoadPlan, arrivals
-from quetzaldyke.commands.bench_faults import FAULTS, Faults
+from quetzaldyke.commands.bench_faults import FAULT_SCENARIOS, FaultScenario
 from quetzaldyke.commands.bench_figures import Figures, p99, ratio
 from quetzaldyke.commands.bench_modes import (
     ENGINE,
@@ -29,7 +29,7 @@
     ORGANISATION,
     REPLICAS,
     Mode,
-    slots_per_s,
+    endpoint_requests_per_s,
 )
 from quetzaldyke.commands.caller import (
     Caller,
@@ -45,7 +45,7 @@
 
 TOKENS: Final = 24
 ITEM_TOKENS: Final = 64
-SAMPLE_S: Final = 0.05
+SAMPLE_INTERVAL_S: Final = 0.05
 OK_STATUS: Final = 200
 QUICK_WINDOW_S: Final = 3.0
 FULL_WINDOW_S: Final = 40.0
@@ -56,46 +56,46 @@
 # Online load as a share of what the endpoints can answer.
 BASE_LOAD: Final = 0.5
 BURST_LOAD: Final = 0.9
-FLOOD_CALLERS: Final = 60
+BATCH_AS_ONLINE_CALLERS: Final = 60
 # Requests of callers; items of jobs have other ids.
 ONLINE_PREFIX: Final = 'req-'
 
 
 @dataclass(slots=True)
-class Run:
+class ModeRun:
     """One mode on one fleet."""
 
     mode: Mode
     fleet: ProcessFleet
     plan: LoadPlan
     figures: Figures
-    began_s: float = 0.0
+    started_s: float = 0.0
     online_running: int = 0
 
     @property
-    def passed_s(self) -> float:
+    def elapsed_s(self) -> float:
         """Return the time since the start of the window."""
-        return time.monotonic() - self.began_s
+        return time.monotonic() - self.started_s
 
 
 def load_plan(window_s: float, seed: int) -> LoadPlan:
     """Return the online load of a window: half of capacity and a burst."""
-    capacity = slots_per_s(TOKENS) * REPLICAS
+    capacity = endpoint_requests_per_s(TOKENS) * REPLICAS
     burst = Burst(window_s * 0.5, window_s * 0.75, capacity * BURST_LOAD)
     return LoadPlan(seed, window_s, capacity * BASE_LOAD, (burst,), TOKENS)
 
 
-async def drive_online(run: Run) -> None:
+async def drive_online(run: ModeRun) -> None:
     """Send every arrival at its intended time."""
     callers = [run.fleet.caller(ORGANISATION, number) for number in range(2)]
     async with anyio.create_task_group() as group:
         for number, arrival in enumerate(arrivals(run.plan)):
-            await anyio.sleep(max(0.0, arrival.at_s - run.passed_s))
+            await anyio.sleep(max(0.0, arrival.at_s - run.elapsed_s))
             caller = callers[number % len(callers)]
-            group.start_soon(one_online, run, caller, arrival)
+            group.start_soon(send_online, run, caller, arrival)
 
 
-async def one_online(run: Run, caller: Caller, arrival: Arrival) -> None:
+async def send_online(run: ModeRun, caller: Caller, arrival: Arrival) -> None:
     """Send one request and record what the caller saw."""
     figures = run.figures
     figures.online_sent += 1
@@ -104,13 +104,13 @@
         run.mode.plan().pools[0].name,
         arrival.prompt,
         arrival.max_tokens,
-        run.began_s + arrival.at_s,
+        run.started_s + arrival.at_s,
     )
     run.online_running -= 1
-    note_online(figures, arrival, outcome)
+    record_online(figures, arrival, outcome)
 
 
-def note_online(
+def record_online(
     figures: Figures,
     arrival: Arrival,
     outcome: ChatOutcome,
@@ -126,18 +126,19 @@
         figures.notes.append(f'broken answer: {outcome.error}'[:160])
         return
     figures.online_answered += 1
-    figures.note_first(outcome.first_s, arrival.in_burst)
-    for gap_s in outcome.gaps_s:
-        figures.note_gap(gap_s)
+    figures.record_ttft(outcome.ttft_s, arrival.in_burst)
+    for token_gap_s in outcome.token_gaps_s:
+        figures.record_token_gap(token_gap_s)
 
 
-async def sample_slots(run: Run) -> None:
+async def sample_slots(run: ModeRun) -> None:
     """Sample how many slots online work leaves and batch uses."""
     engines = [
-        run.fleet.control(member.name) for member in run.fleet.named('engine')
+        run.fleet.control(member.name)
+        for member in run.fleet.with_role('engine')
     ]
-    while run.passed_s < run.plan.duration_s:
-        await anyio.sleep(SAMPLE_S)
+    while run.elapsed_s < run.plan.duration_s:
+        await anyio.sleep(SAMPLE_INTERVAL_S)
         async with anyio.create_task_group() as group:
             for engine in engines:
                 group.start_soon(sample_engine, run.figures, engine)
@@ -155,13 +156,13 @@
     figures.batch_slots += len(running) - online
 
 
-async def flood(run: Run) -> None:
+async def send_batch_as_online(run: ModeRun) -> None:
     """Send batch items as plain requests, as many at once as slots."""
     caller = run.fleet.caller(ORGANISATION)
 
-    async def lane(number: int) -> None:
+    async def worker(number: int) -> None:
         sent = 0
-        while run.passed_s < run.plan.duration_s:
+        while run.elapsed_s < run.plan.duration_s:
             prompt = f'draft {number} {sent}'
             pool = run.fleet.plan.pools[0].name
             outcome = await caller.chat(pool, prompt, ITEM_TOKENS)
@@ -170,13 +171,13 @@
                 run.figures.notes.append(outcome.error[:160])
 
     async with anyio.create_task_group() as group:
-        for number in range(FLOOD_CALLERS):
-            group.start_soon(lane, number)
+        for number in range(BATCH_AS_ONLINE_CALLERS):
+            group.start_soon(worker, number)
 
 
-async def run_job(run: Run) -> None:
+async def run_job(run: ModeRun) -> None:
     """Submit a job that outlasts the window, and check all its results."""
-    capacity = slots_per_s(ITEM_TOKENS) * REPLICAS
+    capacity = endpoint_requests_per_s(ITEM_TOKENS) * REPLICAS
     count = int(capacity * run.plan.duration_s * 0.75)
     prompts = [f'draft {number} of the rota' for number in range(count)]
     lines = [
@@ -186,23 +187,23 @@
     caller = run.fleet.caller(ORGANISATION)
     job = await submit_job(caller, lines, new_key())
     run.figures.items_accepted = count
-    await anyio.sleep(max(0.0, run.plan.duration_s - run.passed_s))
+    await anyio.sleep(max(0.0, run.plan.duration_s - run.elapsed_s))
     ended = await wait_for_job(caller, job['id'])
     run.figures.late_jobs = int(bool(ended.get('late')))
     check_results(run, prompts, await job_results(caller, job['id']))
 
 
-async def items_finished(run: Run) -> int:
+async def items_finished(run: ModeRun) -> int:
     """Return the batch items that the engines have finished so far."""
     counts = [
-        await counts_of(run.fleet, member.name)
-        for member in run.fleet.named('engine')
+        await read_counts(run.fleet, member.name)
+        for member in run.fleet.with_role('engine')
     ]
     finished = sum(int(one['finished']) for one in counts)
     return max(0, finished - run.figures.online_answered)
 
 
-async def counts_of(fleet: ProcessFleet, name: str) -> dict[str, Any]:
+async def read_counts(fleet: ProcessFleet, name: str) -> dict[str, Any]:
     """Return the counters of a stand-in; zeros when it is gone."""
     control = fleet.control(name)
     try:
@@ -215,7 +216,7 @@
 
 
 def check_results(
-    run: Run,
+    run: ModeRun,
     prompts: list[str],
     rows: list[dict[str, object]],
 ) -> None:
@@ -226,10 +227,10 @@
     for row in rows:
         number = int(str(row['custom_id']).removeprefix('item-'))
         expected = answer_text(prompts[number], ITEM_TOKENS)
-        run.figures.items_wrong += text_of(row) != expected
+        run.figures.items_wrong += result_text(row) != expected
 
 
-def text_of(row: dict[str, object]) -> str:
+def result_text(row: dict[str, object]) -> str:
     """Return the text of a result row, empty for a failed item."""
     match row:
         case {'response': {'body': {'choices': [{'message': message}, *_]}}}:
@@ -240,41 +241,43 @@
 async def run_mode(
     mode: Mode,
     plan: LoadPlan,
-    faults: Faults | None = None,
+    fault_scenario: FaultScenario | None = None,
 ) -> Figures:
     """Run one mode on a fleet of its own."""
     figures = Figures(mode.name)
     async with AsyncExitStack() as stack:
         fleet = await start_fleet(stack, mode.plan())
         await anyio.sleep(WARM_UP_S)
-        run = Run(mode, fleet, plan, figures, time.monotonic())
-        await run_window(run, faults)
+        run = ModeRun(mode, fleet, plan, figures, time.monotonic())
+        await run_window(run, fault_scenario)
     return figures
 
 
-async def run_window(run: Run, faults: Faults | None) -> None:
+async def run_window(
+    run: ModeRun, fault_scenario: FaultScenario | None
+) -> None:
     """Drive all load of one window and wait for its end."""
     figures = run.figures
-    before = await counts_of(run.fleet, 'kv')
+    before = await read_counts(run.fleet, 'kv')
     cpu_before = cpu_by_role(run.fleet)
-    run.began_s = time.monotonic()
+    run.started_s = time.monotonic()
     async with anyio.create_task_group() as group:
         group.start_soon(drive_online, run)
         group.start_soon(sample_slots, run)
-        if faults is not None:
-            group.start_soon(faults, run.fleet, run.plan.duration_s)
-        if run.mode.flood:
-            group.start_soon(flood, run)
+        if fault_scenario is not None:
+            group.start_soon(fault_scenario, run.fleet, run.plan.duration_s)
+        if run.mode.batch_as_online:
+            group.start_soon(send_batch_as_online, run)
         if run.mode.job:
             group.start_soon(run_job, run)
         await anyio.sleep(run.plan.duration_s)
         figures.items_in_window = await items_finished(run)
-        figures.window_s = run.passed_s
+        figures.window_s = run.elapsed_s
         figures.cpu_share = {
-            role: (used_s - cpu_before[role]) / run.passed_s
+            role: (used_s - cpu_before[role]) / run.elapsed_s
             for role, used_s in cpu_by_role(run.fleet).items()
         }
-    after = await counts_of(run.fleet, 'kv')
+    after = await read_counts(run.fleet, 'kv')
     figures.kv_writes = after['writes'] - before['writes']
     figures.kv_calls = {
         kind: count - before['calls'].get(kind, 0)
@@ -286,32 +289,36 @@
     """Return the processor time that one process of a role used, averaged."""
     roles = {member.role for member in fleet.members.values()}
     used = {
-        role: fmean([one.cpu_s() for one in fleet.named(role)])
+        role: fmean([one.cpu_s() for one in fleet.with_role(role)])
         for role in roles
     }
     return used | {'driver': time.process_time()}
 
 
 def compare(
-    found: dict[str, Figures],
+    figures_by_mode: dict[str, Figures],
     window_s: float,
 ) -> dict[str, float]:
     """Return the figures that compare modes, as far as the window tells."""
-    alone = found['no_batch']
-    ours = found['lending']
-    flooded = found['no_priority']
+    no_batch = figures_by_mode['no_batch']
+    lending = figures_by_mode['lending']
+    no_priority = figures_by_mode['no_priority']
     online = {
-        'harm_ratio': ratio(p99(ours.ttft), p99(alone.ttft)),
-        'harm_ratio_burst': ratio(p99(ours.burst_ttft), p99(alone.burst_ttft)),
-        'harm_ratio_no_priority': ratio(p99(flooded.ttft), p99(alone.ttft)),
+        'harm_ratio': ratio(p99(lending.ttft), p99(no_batch.ttft)),
+        'harm_ratio_burst': ratio(
+            p99(lending.burst_ttft), p99(no_batch.burst_ttft)
+        ),
+        'harm_ratio_no_priority': ratio(
+            p99(no_priority.ttft), p99(no_batch.ttft)
+        ),
     }
     if window_s < BATCH_WINDOW_S:
         return online
     return online | {
-        'idle_use': ratio(ours.batch_slots, ours.idle_slots),
+        'idle_use': ratio(lending.batch_slots, lending.idle_slots),
         'throughput_ratio': ratio(
-            ours.items_in_window,
-            flooded.items_in_window,
+            lending.items_in_window,
+            no_priority.items_in_window,
         ),
     }
 
@@ -323,15 +330,15 @@
 ) -> dict[str, Figures]:
     """Run every mode on the same arrivals, with a fault if one is named."""
     plan = load_plan(window_s, seed)
-    found = {}
+    figures_by_mode = {}
     for mode in MODES:
-        figures = await run_mode(mode, plan, FAULTS[fault])
-        found[mode.name] = figures
+        figures = await run_mode(mode, plan, FAULT_SCENARIOS[fault])
+        figures_by_mode[mode.name] = figures
         lines = figures.lines(batch=window_s >= BATCH_WINDOW_S)
         print('\n'.join(lines), flush=True)
         for note, count in Counter(figures.notes).most_common(3):
             print(f'mode={mode.name} note={note!r} count={count}')
-    return found
+    return figures_by_mode
 
 
 def bench(
@@ -341,27 +348,27 @@
     fault: str = 'none',
 ) -> None:
     """Compare the policies; `--quick` ends within 45 s."""
-    if fault not in FAULTS:
-        sys.exit(f'--fault: one of {", ".join(FAULTS)}')
+    if fault not in FAULT_SCENARIOS:
+        sys.exit(f'--fault: one of {", ".join(FAULT_SCENARIOS)}')
     window_s = QUICK_WINDOW_S if quick else FULL_WINDOW_S
-    found = anyio.run(
+    figures_by_mode = anyio.run(
         run_bench,
         window_s,
         seed,
         fault,
         backend_options={'use_uvloop': True},
     )
-    compared = compare(found, window_s)
+    comparison = compare(figures_by_mode, window_s)
     if window_s < BATCH_WINDOW_S:
         print(f'note: batch rates need a window of {BATCH_WINDOW_S:g} s')
-    for name, figure in compared.items():
+    for name, figure in comparison.items():
         print(f'figure={name} value={figure:.4g} seed={seed} fault={fault}')
     if json_file:
-        document = {name: one.rows() for name, one in found.items()}
+        document = {name: one.rows() for name, one in figures_by_mode.items()}
         content = {
             'seed': seed,
             'fault': fault,
             'modes': document,
-            'compared': compared,
+            'compared': comparison,
         }
         Path(json_file).write_text(json.dumps(content, indent=2))
--- a/src/quetzaldyke/commands/bench_faults.py
+++ b/src/quetzaldyke/commands/bench_faults.py
@@ -11,9 +11,9 @@
 from quetzaldyke.commands.bench_modes import ONLINE_POOL, ORGANISATION
 from quetzaldyke.commands.process_fleet import ProcessFleet
 
-Faults = Callable[[ProcessFleet, float], Coroutine[Any, Any, None]]
+FaultScenario = Callable[[ProcessFleet, float], Coroutine[Any, Any, None]]
 
-THIRD: Final = 1 / 3
+THIRD_OF_WINDOW: Final = 1 / 3
 SLOW_FACTOR: Final = 4.0
 CRASH_TOKENS: Final = 8
 
@@ -31,7 +31,7 @@
 
 async def endpoint_killed(fleet: ProcessFleet, window_s: float) -> None:
     """Kill an engine and its sidecar after a third."""
-    await anyio.sleep(window_s * THIRD)
+    await anyio.sleep(window_s * THIRD_OF_WINDOW)
     for name in (f'engine-{ONLINE_POOL}-0', f'{ONLINE_POOL}-0'):
         fleet.members[name].process.kill()
 
@@ -39,30 +39,30 @@
 async def endpoint_slow(fleet: ProcessFleet, window_s: float) -> None:
     """Slow an engine down in the middle third."""
     name = f'engine-{ONLINE_POOL}-1'
-    await anyio.sleep(window_s * THIRD)
+    await anyio.sleep(window_s * THIRD_OF_WINDOW)
     await set_fault(fleet, name, slow_factor=SLOW_FACTOR)
-    await anyio.sleep(window_s * THIRD)
+    await anyio.sleep(window_s * THIRD_OF_WINDOW)
     await set_fault(fleet, name, slow_factor=1.0)
 
 
 async def list_stale(fleet: ProcessFleet, window_s: float) -> None:
     """Freeze the instance list, and stop an endpoint as planned."""
     await set_fault(fleet, 'instances', frozen=True)
-    await anyio.sleep(window_s * THIRD)
+    await anyio.sleep(window_s * THIRD_OF_WINDOW)
     fleet.members[f'{ONLINE_POOL}-2'].process.terminate()
 
 
 async def store_down(fleet: ProcessFleet, window_s: float) -> None:
     """Take the key-value service away for the middle third."""
-    await anyio.sleep(window_s * THIRD)
+    await anyio.sleep(window_s * THIRD_OF_WINDOW)
     await set_fault(fleet, 'kv', drop_ratio=1.0)
-    await anyio.sleep(window_s * THIRD)
+    await anyio.sleep(window_s * THIRD_OF_WINDOW)
     await set_fault(fleet, 'kv', drop_ratio=0.0)
 
 
 async def crashing_request(fleet: ProcessFleet, window_s: float) -> None:
     """Send a request that crashes its endpoint, again and again."""
-    await anyio.sleep(window_s * THIRD)
+    await anyio.sleep(window_s * THIRD_OF_WINDOW)
     for number in range(6):
         caller = fleet.caller(ORGANISATION, number)
         await caller.chat(ONLINE_POOL, 'CRASH now', CRASH_TOKENS)
@@ -71,13 +71,13 @@
 
 async def domain_lost(fleet: ProcessFleet, window_s: float) -> None:
     """Kill everything in one failure domain but the entries."""
-    await anyio.sleep(window_s * THIRD)
+    await anyio.sleep(window_s * THIRD_OF_WINDOW)
     for member in fleet.members.values():
         if member.failure_domain == 'a':
             member.process.kill()
 
 
-FAULTS: Final[Mapping[str, Faults | None]] = MappingProxyType(
+FAULT_SCENARIOS: Final[Mapping[str, FaultScenario | None]] = MappingProxyType(
     {
         'none': None,
         'endpoint_killed': endpoint_killed,
--- a/src/quetzaldyke/commands/bench_figures.py
+++ b/src/quetzaldyke/commands/bench_figures.py
@@ -8,18 +8,18 @@
 from hdrh.histogram import HdrHistogram
 
 US_IN_S: Final = 1_000_000
-HIGHEST_US: Final = 120_000_000
-DIGITS: Final = 3
-QUANTILES: Final = (50.0, 95.0, 99.0, 99.9)
+MAX_LATENCY_US: Final = 120_000_000
+SIGNIFICANT_DIGITS: Final = 3
+PERCENTILES: Final = (50.0, 95.0, 99.0, 99.9)
 # Figures that mean nothing in a window shorter than a few items.
-BATCH_RATES: Final = frozenset(
+LONG_WINDOW_FIGURES: Final = frozenset(
     ('items_per_s', 'idle_use', 'kv_writes_per_item'),
 )
 
 
 def new_histogram() -> HdrHistogram:
     """Return a histogram of times in us."""
-    return HdrHistogram(1, HIGHEST_US, DIGITS)
+    return HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 @dataclass(slots=True)
@@ -48,29 +48,31 @@
     kv_writes: int = 0
     notes: list[str] = field(default_factory=list)
 
-    def note_first(self, first_s: float, in_burst: bool) -> None:
+    def record_ttft(self, ttft_s: float, in_burst: bool) -> None:
         """Record a time to first token."""
-        first_us = max(1, int(first_s * US_IN_S))
-        self.ttft.record_value(first_us)
+        ttft_us = max(1, int(ttft_s * US_IN_S))
+        self.ttft.record_value(ttft_us)
         if in_burst:
-            self.burst_ttft.record_value(first_us)
+            self.burst_ttft.record_value(ttft_us)
 
-    def note_gap(self, gap_s: float) -> None:
+    def record_token_gap(self, gap_s: float) -> None:
         """Record a time between tokens."""
         self.gaps.record_value(max(1, int(gap_s * US_IN_S)))
 
     def rows(self) -> dict[str, float]:
         """Return the figures by name."""
-        found: dict[str, float] = {}
+        figures: dict[str, float] = {}
         for name, histogram in (
             ('ttft', self.ttft),
             ('burst_ttft', self.burst_ttft),
             ('tbt', self.gaps),
         ):
-            for quantile in QUANTILES:
-                key = f'{name}_p{quantile:g}_ms'
-                found[key] = histogram.get_value_at_percentile(quantile) / 1000
-        found |= {
+            for percentile in PERCENTILES:
+                key = f'{name}_p{percentile:g}_ms'
+                figures[key] = (
+                    histogram.get_value_at_percentile(percentile) / 1000
+                )
+        figures |= {
             'online_sent': self.online_sent,
             'online_answered': self.online_answered,
             'online_refused': self.online_refused,
@@ -86,10 +88,10 @@
             'kv_writes_per_item': ratio(self.kv_writes, self.items_recorded),
         }
         for role, share in sorted(self.cpu_share.items()):
-            found[f'cpu_{role}'] = share
+            figures[f'cpu_{role}'] = share
         for kind, count in sorted(self.kv_calls.items()):
-            found[f'kv_{kind}'] = count
-        return found
+            figures[f'kv_{kind}'] = count
+        return figures
 
     def lines(self, *, batch: bool = True) -> list[str]:
         """Return one key=value line for each figure.
@@ -99,13 +101,13 @@
         return [
             f'mode={self.mode} {name}={figure:.4g}'
             for name, figure in self.rows().items()
-            if batch or name not in BATCH_RATES
+            if batch or name not in LONG_WINDOW_FIGURES
         ]
 
 
-def ratio(over: float, under: float) -> float:
+def ratio(numerator: float, denominator: float) -> float:
     """Return a quotient, 0 without a divisor."""
-    return over / under if under else 0.0
+    return numerator / denominator if denominator else 0.0
 
 
 def p99(histogram: HdrHistogram) -> float:
--- a/src/quetzaldyke/commands/bench_modes.py
+++ b/src/quetzaldyke/commands/bench_modes.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, replace
 from typing import Final
 
-from quetzaldyke.commands.rig import FleetPlan, PoolPlan
+from quetzaldyke.commands.task_fleet import FleetPlan, PoolPlan
 from quetzaldyke.standins.engine_options import EngineOptions
 
 ORGANISATION: Final = 'bench'
@@ -36,14 +36,14 @@
     name: str
     replicas: int
     batch_replicas: int = 0
-    flood: bool = False
+    batch_as_online: bool = False
     job: bool = False
     online: bool = True
 
     def plan(self) -> FleetPlan:
         """Return the deployment of the policy."""
         online = PoolPlan(ONLINE_POOL, self.replicas, engine=ENGINE)
-        if self.flood:
+        if self.batch_as_online:
             online = replace(online, max_streams=UNLIMITED, max_queue=UNLIMITED)
         pools = [online]
         if self.batch_replicas:
@@ -67,13 +67,13 @@
 REPLICAS: Final = 5
 MODES: Final[Sequence[Mode]] = (
     Mode('no_batch', REPLICAS),
-    Mode('no_priority', REPLICAS, flood=True),
+    Mode('no_priority', REPLICAS, batch_as_online=True),
     Mode('static_split', REPLICAS - 2, batch_replicas=2, job=True),
     Mode('lending', REPLICAS, job=True),
 )
 
 
-def slots_per_s(tokens: int) -> float:
+def endpoint_requests_per_s(tokens: int) -> float:
     """Return the requests a second that one full endpoint answers."""
     step_ms = ENGINE.step_ms + ENGINE.per_stream_ms * ENGINE.max_streams
     return ENGINE.max_streams / (tokens * step_ms / 1000)
--- a/src/quetzaldyke/commands/caller.py
+++ b/src/quetzaldyke/commands/caller.py
@@ -13,7 +13,7 @@
 import orjson
 
 from quetzaldyke.connection.engine_client import EventReader, Progress, absorb
-from quetzaldyke.connection.engine_client import Piece as Part
+from quetzaldyke.connection.engine_client import Piece as TextPart
 
 OK_STATUS: Final = 200
 MS_IN_S: Final = 1000
@@ -21,23 +21,23 @@
 TIME_BYTES: Final = 6
 VERSION_BYTE: Final = 6
 VERSION_BITS: Final = 0x70
-LOW_NIBBLE: Final = 0xF
+VERSION_LOW_MASK: Final = 0xF
 VARIANT_BYTE: Final = 8
-VARIANT: Final = 0x80
-VARIANT_REST: Final = 0x3F
+VARIANT_BITS: Final = 0x80
+VARIANT_LOW_MASK: Final = 0x3F
 TIMEOUTS: Final = {
     'timeout': {'connect': 10.0, 'pool': 10.0, 'write': 30.0, 'read': 60.0},
 }
 
 MAX_CONNECTIONS: Final = 1024
-KEEPALIVE_S: Final = 4.0
+KEEPALIVE_EXPIRY_S: Final = 4.0
 
 
 def make_pool() -> httpcore.AsyncConnectionPool:
     """Return the connections to one address."""
     return httpcore.AsyncConnectionPool(
         max_connections=MAX_CONNECTIONS,
-        keepalive_expiry=KEEPALIVE_S,
+        keepalive_expiry=KEEPALIVE_EXPIRY_S,
     )
 
 
@@ -50,8 +50,8 @@
     tokens: int = 0
     whole: bool = False
     error: str = ''
-    first_s: float = 0.0
-    gaps_s: list[float] = field(default_factory=list)
+    ttft_s: float = 0.0
+    token_gaps_s: list[float] = field(default_factory=list)
 
 
 @dataclass(slots=True)
@@ -85,25 +85,27 @@
 
     def headers(
         self,
-        more: Mapping[str, str] | None = None,
+        extra: Mapping[str, str] | None = None,
     ) -> list[tuple[str, str]]:
         """Return the headers of a call."""
-        named = {
+        all_headers = {
             'authorization': f'Bearer {self.key}',
             'content-type': 'application/json',
         }
-        return list((named | dict(more or {})).items())
+        return list((all_headers | dict(extra or {})).items())
 
     async def chat(
         self,
         model: str,
         prompt: str,
         max_tokens: int,
-        intended_s: float | None = None,
+        intended_start_s: float | None = None,
     ) -> ChatOutcome:
         """Stream one chat completion."""
         outcome = ChatOutcome()
-        began_s = time.monotonic() if intended_s is None else intended_s
+        started_s = (
+            time.monotonic() if intended_start_s is None else intended_start_s
+        )
         body = orjson.dumps(
             {
                 'model': model,
@@ -121,7 +123,7 @@
                 extensions=TIMEOUTS,
             ) as response:
                 outcome.status = response.status
-                await read_stream(response, outcome, began_s)
+                await read_stream(response, outcome, started_s)
         except (httpcore.NetworkError, httpcore.ProtocolError) as exc:
             outcome.error = repr(exc)
         except httpcore.TimeoutException as exc:
@@ -132,7 +134,7 @@
 async def read_stream(
     response: httpcore.Response,
     outcome: ChatOutcome,
-    began_s: float,
+    started_s: float,
 ) -> None:
     """Read a stream of chunks into the outcome."""
     if response.status != OK_STATUS:
@@ -140,19 +142,21 @@
         return
     progress = Progress()
     reader = EventReader()
-    last_s = 0.0
-    async for raw in response.aiter_stream():
-        part = Part()
-        for text in reader.feed(raw):
+    previous_s = 0.0
+    async for data in response.aiter_stream():
+        part = TextPart()
+        for text in reader.feed(data):
             absorb(text, part, progress)
         if not part.text:
             continue
         now_s = time.monotonic()
         if outcome.tokens:
-            outcome.gaps_s.append((now_s - last_s) / max(1, part.tokens))
+            outcome.token_gaps_s.append(
+                (now_s - previous_s) / max(1, part.tokens)
+            )
         else:
-            outcome.first_s = now_s - began_s
-        last_s = now_s
+            outcome.ttft_s = now_s - started_s
+        previous_s = now_s
         outcome.text += part.text
         outcome.tokens += part.tokens
     outcome.whole = progress.whole and not progress.error
@@ -162,10 +166,10 @@
 def new_key() -> str:
     """Return a UUIDv7: the time in ms and random bits."""
     stamp = int(time.time() * MS_IN_S).to_bytes(TIME_BYTES, 'big')
-    raw = bytearray(stamp + secrets.token_bytes(UUID_BYTES - TIME_BYTES))
-    raw[VERSION_BYTE] = VERSION_BITS | raw[VERSION_BYTE] & LOW_NIBBLE
-    raw[VARIANT_BYTE] = VARIANT | raw[VARIANT_BYTE] & VARIANT_REST
-    return str(uuid.UUID(bytes=bytes(raw)))
+    data = bytearray(stamp + secrets.token_bytes(UUID_BYTES - TIME_BYTES))
+    data[VERSION_BYTE] = VERSION_BITS | data[VERSION_BYTE] & VERSION_LOW_MASK
+    data[VARIANT_BYTE] = VARIANT_BITS | data[VARIANT_BYTE] & VARIANT_LOW_MASK
+    return str(uuid.UUID(bytes=bytes(data)))
 
 
 def item_line(
@@ -187,7 +191,7 @@
     }
 
 
-def multipart(lines: bytes) -> tuple[bytes, dict[str, str]]:
+def multipart_body(lines: bytes) -> tuple[bytes, dict[str, str]]:
     """Return the body and headers of an upload."""
     boundary = secrets.token_hex()
     body = b''.join(
@@ -201,8 +205,11 @@
             f'\r\n--{boundary}--\r\n'.encode(),
         )
     )
-    kind = f'multipart/form-data; boundary={boundary}'
-    return body, {'content-type': kind, 'content-length': str(len(body))}
+    content_type = f'multipart/form-data; boundary={boundary}'
+    return body, {
+        'content-type': content_type,
+        'content-length': str(len(body)),
+    }
 
 
 async def submit_job(
@@ -213,19 +220,19 @@
 ) -> dict[str, Any]:
     """Upload the input and create the job; raises on a refusal."""
     content = b'\n'.join(orjson.dumps(line) for line in lines)
-    body, headers = multipart(content)
-    stored = expect(await caller.request('POST', '/v1/files', body, headers))
-    order: dict[str, object] = {
+    body, headers = multipart_body(content)
+    stored = expect_ok(await caller.request('POST', '/v1/files', body, headers))
+    job_request: dict[str, object] = {
         'input_file_id': stored['id'],
         'endpoint': '/v1/chat/completions',
     }
     if deadline:
-        order['deadline'] = deadline
-    return expect(
+        job_request['deadline'] = deadline
+    return expect_ok(
         await caller.request(
             'POST',
             '/v1/batches',
-            order,
+            job_request,
             {'idempotency-key': key},
         ),
     )
@@ -233,21 +240,21 @@
 
 async def job_results(caller: Caller, job_id: str) -> list[dict[str, Any]]:
     """Return the recorded results of a job, failures included."""
-    found: list[dict[str, Any]] = []
-    for kind in ('output', 'errors'):
+    results: list[dict[str, Any]] = []
+    for file_kind in ('output', 'errors'):
         status, content = await caller.request(
             'GET',
-            f'/v1/files/{kind}-{job_id}/content',
+            f'/v1/files/{file_kind}-{job_id}/content',
         )
         if status == OK_STATUS and isinstance(content, bytes):
-            found.extend(orjson.loads(line) for line in content.splitlines())
+            results.extend(orjson.loads(line) for line in content.splitlines())
         elif status == OK_STATUS and isinstance(content, dict):
             # A single line is a JSON document by itself.
-            found.append(content)
-    return found
+            results.append(content)
+    return results
 
 
-def expect(answer: tuple[int, object]) -> dict[str, Any]:
+def expect_ok(answer: tuple[int, object]) -> dict[str, Any]:
     """Return the document of a successful call."""
     status, content = answer
     if status != OK_STATUS or not isinstance(content, dict):
--- a/src/quetzaldyke/commands/capacity.py
+++ b/src/quetzaldyke/commands/capacity.py
@@ -26,7 +26,7 @@
     runs: int = RUNS
 
 
-def single(
+def single_cost(
     name: str,
     unit: str,
     probe: Callable[[int], Awaitable[float]],
@@ -34,22 +34,26 @@
 ) -> Measurement:
     """Return the measurement of a probe with one cost."""
 
-    async def named(size: int) -> Mapping[str, float]:
+    async def measure_named(size: int) -> Mapping[str, float]:
         return {name: await probe(size)}
 
-    return Measurement({name: unit}, named, sizes)
+    return Measurement({name: unit}, measure_named, sizes)
 
 
 ORGANISATIONS: Final = (700, 1400, 2800, 5600)
 ENTRIES: Final = (155, 310, 620)
 MEASUREMENTS: Final = (
-    single('frame_cost', 'us/frame', probes.frame_cost_us, (1, 4, 8, 32)),
-    single('session_memory', 'KB', probes.session_memory_kb, (20, 60, 120)),
-    single('session_cpu', '%core', probes.session_cpu_percent, (20, 60, 120)),
-    single('document_size', 'KB', probes.document_kb, ORGANISATIONS),
-    single('document_adopt', 'ms', probes.adopt_ms, ORGANISATIONS),
-    single('subset_choice', 'ms', probes.subset_ms, ENTRIES),
-    single('owner_choice', 'us', probes.owner_us, ENTRIES),
+    single_cost('frame_cost', 'us/frame', probes.frame_cost_us, (1, 4, 8, 32)),
+    single_cost(
+        'session_memory', 'KB', probes.session_memory_kb, (20, 60, 120)
+    ),
+    single_cost(
+        'session_cpu', '%core', probes.session_cpu_percent, (20, 60, 120)
+    ),
+    single_cost('document_size', 'KB', probes.document_kb, ORGANISATIONS),
+    single_cost('document_adopt', 'ms', probes.adopt_ms, ORGANISATIONS),
+    single_cost('subset_choice', 'ms', probes.subset_ms, ENTRIES),
+    single_cost('owner_choice', 'us', probes.owner_us, ENTRIES),
     Measurement(
         {'entry_relay': 'us/request', 'sidecar_relay': 'us/request'},
         fleets.relay_costs,
@@ -77,12 +81,12 @@
 
 async def measure_all() -> list[Slope]:
     """Measure every slope, one after the other."""
-    found: list[Slope] = []
+    slopes_found: list[Slope] = []
     for one in MEASUREMENTS:
         slopes = await measure(one.units, one.probe, one.sizes, one.runs)
         print('\n'.join(slope.line() for slope in slopes), flush=True)
-        found.extend(slopes)
-    return found
+        slopes_found.extend(slopes)
+    return slopes_found
 
 
 def capacity() -> None:
--- a/src/quetzaldyke/commands/check_settings.py
+++ b/src/quetzaldyke/commands/check_settings.py
@@ -20,7 +20,7 @@
     variable_of,
 )
 
-FINDINGS_STATUS: Final = 2
+EXIT_INVALID_SETTINGS: Final = 2
 ROLES: Final[dict[str, type[ProcessSettings]]] = {
     'entry': EntrySettings,
     'sidecar': SidecarSettings,
@@ -29,7 +29,7 @@
 COMMAND_VARIABLES: Final = frozenset((variable_of('caller_key'),))
 
 
-def findings_for(
+def check_role(
     role: str,
     flags: Mapping[str, object],
     environ: Mapping[str, str],
@@ -46,7 +46,7 @@
     loaded = load_settings(ROLES[role], flags, environ)
     if isinstance(loaded, Err):
         errors.findings.extend(loaded.err_value.findings)
-    known = {
+    known_variables = {
         variable_of(name)
         for model in ROLES.values()
         for name in model.model_fields
@@ -54,7 +54,10 @@
     for variable in sorted(environ):
         if not variable.startswith(ENV_PREFIX):
             continue
-        if variable not in known and variable not in COMMAND_VARIABLES:
+        if (
+            variable not in known_variables
+            and variable not in COMMAND_VARIABLES
+        ):
             errors.add(variable, 'is not known')
     return errors
 
@@ -62,7 +65,7 @@
 def check(arguments: Sequence[str], environ: Mapping[str, str]) -> Errors:
     """Check a command line: the role, then its flags."""
     role, *flags = arguments or ['']
-    return findings_for(role, parse_flags(flags), environ)
+    return check_role(role, parse_flags(flags), environ)
 
 
 def check_settings(*_arguments: str, **_flags: object) -> None:
@@ -74,5 +77,5 @@
     errors = check(sys.argv[2:], os.environ)
     if errors.found:
         sys.stderr.write(f'{errors.render()}\n')
-        sys.exit(FINDINGS_STATUS)
+        sys.exit(EXIT_INVALID_SETTINGS)
     print('ok')
--- a/src/quetzaldyke/commands/config.py
+++ b/src/quetzaldyke/commands/config.py
@@ -11,31 +11,31 @@
 from urllib.parse import urlencode
 
 from quetzaldyke.commands.http_client import (
-    REFUSED_STATUS,
-    USAGE_STATUS,
-    Answer,
+    EXIT_REFUSED,
+    EXIT_USAGE,
+    Response,
     Client,
-    exit_unless_ok,
-    finish,
+    exit_on_error,
+    print_response,
     operators_client,
 )
 
-MAX_SENDS: Final = 5
-RESEND_PAUSE_S: Final = 0.5
-READ_MARGIN_S: Final = 10.0
-UNAVAILABLE: Final = 503
+MAX_ATTEMPTS: Final = 5
+RETRY_DELAY_S: Final = 0.5
+READ_TIMEOUT_MARGIN_S: Final = 10.0
+UNAVAILABLE_STATUS: Final = 503
 
 
 def get(operators_address: str = '', operator_key: str = '') -> None:
     """Print the configuration in force at an entry."""
     client = operators_client(operators_address, operator_key)
-    finish(client.call('GET', '/config'))
+    print_response(client.call('GET', '/config'))
 
 
 def history(operators_address: str = '', operator_key: str = '') -> None:
     """Print the latest patches."""
     client = operators_client(operators_address, operator_key)
-    finish(client.call('GET', '/config/history'))
+    print_response(client.call('GET', '/config/history'))
 
 
 def patch(
@@ -54,14 +54,14 @@
     client = operators_client(operators_address, operator_key)
     operations = read_operations(patch, file)
     if base_version < 0:
-        base_version = present_version(client)
+        base_version = current_version(client)
     body = {
         'base_version': base_version,
         'patch_id': str(patch_id or uuid.uuid4()),
         'patch': operations,
     }
     sys.stderr.write(f'patch id {body["patch_id"]}, base {base_version}\n')
-    finish(send_until_known(client, json.dumps(body).encode()))
+    print_response(submit_with_retries(client, json.dumps(body).encode()))
 
 
 def read_operations(given: Any, file: str) -> list[dict[str, Any]]:
@@ -72,31 +72,31 @@
     operations = json.loads(given) if isinstance(given, str) else given
     if not isinstance(operations, list):
         sys.stderr.write('--patch / --file: must be a JSON Patch, a list\n')
-        sys.exit(USAGE_STATUS)
+        sys.exit(EXIT_USAGE)
     return operations
 
 
-def present_version(client: Client) -> int:
+def current_version(client: Client) -> int:
     """Return the version in force at the entry."""
-    answer = client.call('GET', '/config')
-    if not answer.ok:
-        finish(answer)
-    return int(answer.document()['version'])
+    response = client.call('GET', '/config')
+    if not response.ok:
+        print_response(response)
+    return int(response.document()['version'])
 
 
-def send_until_known(
+def submit_with_retries(
     client: Client,
     content: bytes,
-    pause_s: float = RESEND_PAUSE_S,
-) -> Answer:
+    delay_s: float = RETRY_DELAY_S,
+) -> Response:
     """Send a patch until its outcome is known, at most MAX_SENDS times."""
-    answer = client.call('POST', '/config/patches', content)
-    for _ in range(MAX_SENDS - 1):
-        if answer.status not in {0, UNAVAILABLE}:
+    response = client.call('POST', '/config/patches', content)
+    for _ in range(MAX_ATTEMPTS - 1):
+        if response.status not in {0, UNAVAILABLE_STATUS}:
             break
-        time.sleep(pause_s)
-        answer = client.call('POST', '/config/patches', content)
-    return answer
+        time.sleep(delay_s)
+        response = client.call('POST', '/config/patches', content)
+    return response
 
 
 def wait(
@@ -111,17 +111,17 @@
     """
     client = operators_client(operators_address, operator_key)
     if version < 0:
-        version = present_version(client)
+        version = current_version(client)
     query = urlencode({'version': version, 'timeout_s': timeout_s})
-    answer = client.call(
+    response = client.call(
         'GET',
         f'/config/wait?{query}',
-        read_s=timeout_s + READ_MARGIN_S,
+        read_timeout_s=timeout_s + READ_TIMEOUT_MARGIN_S,
     )
-    print(json.dumps(answer.document(), indent=2))
-    exit_unless_ok(answer)
-    if not answer.document()['everywhere']:
-        sys.exit(REFUSED_STATUS)
+    print(json.dumps(response.document(), indent=2))
+    exit_on_error(response)
+    if not response.document()['everywhere']:
+        sys.exit(EXIT_REFUSED)
 
 
 CONFIG_COMMANDS: Final = {
--- a/src/quetzaldyke/commands/daemons.py
+++ b/src/quetzaldyke/commands/daemons.py
@@ -21,9 +21,9 @@
     load_settings,
 )
 
-SETTINGS_STATUS: Final = 2
+EXIT_INVALID_SETTINGS: Final = 2
 
-Run = Callable[..., Coroutine[Any, Any, None]]
+RunRole = Callable[..., Coroutine[Any, Any, None]]
 SettingsT = TypeVar('SettingsT', bound=ProcessSettings)
 
 
@@ -40,20 +40,20 @@
     {'pool': 'orders', 'max_streams': '4'}
     """
     flags: dict[str, str] = {}
-    waiting = ''
+    pending_flag = ''
     for argument in arguments:
-        if waiting:
-            flags[waiting] = argument
-            waiting = ''
+        if pending_flag:
+            flags[pending_flag] = argument
+            pending_flag = ''
             continue
-        name, equals, content = argument.partition('=')
-        key = name.removeprefix('--').replace('-', '_')
+        name, equals, text = argument.partition('=')
+        flag = name.removeprefix('--').replace('-', '_')
         if equals:
-            flags[key] = content
+            flags[flag] = text
         else:
-            waiting = key
-    if waiting:
-        flags[waiting] = ''
+            pending_flag = flag
+    if pending_flag:
+        flags[pending_flag] = ''
     return flags
 
 
@@ -65,7 +65,7 @@
     loaded = load_settings(model, flags)
     if isinstance(loaded, Err):
         sys.stderr.write(f'{loaded.err_value.render()}\n')
-        sys.exit(SETTINGS_STATUS)
+        sys.exit(EXIT_INVALID_SETTINGS)
     return loaded.ok_value
 
 
@@ -79,20 +79,20 @@
 
 
 async def run_role(
-    run: Run,
+    run: RunRole,
     settings: ProcessSettings,
 ) -> None:
     """Run a role until its planned stop is complete."""
-    async with anyio.create_task_group() as signals:
+    async with anyio.create_task_group() as signal_group:
         async with anyio.create_task_group() as group:
-            process = await start_in(group, run, settings)
-            signals.start_soon(stop_on_signal, process, group.cancel_scope)
-        signals.cancel_scope.cancel()
+            process = await start_role(group, run, settings)
+            signal_group.start_soon(stop_on_signal, process, group.cancel_scope)
+        signal_group.cancel_scope.cancel()
 
 
-async def start_in(
+async def start_role(
     group: TaskGroup,
-    run: Run,
+    run: RunRole,
     settings: ProcessSettings,
 ) -> Stoppable:
     """Start a role in a task group and return its process object."""
@@ -100,7 +100,7 @@
     return process
 
 
-def run_daemon(run: Run, settings: ProcessSettings) -> None:
+def run_daemon(run: RunRole, settings: ProcessSettings) -> None:
     """Run a role on uvloop."""
     add_stderr_destination()
     anyio.run(run_role, run, settings, backend_options={'use_uvloop': True})
--- a/src/quetzaldyke/commands/demo.py
+++ b/src/quetzaldyke/commands/demo.py
@@ -16,24 +16,29 @@
 
 from quetzaldyke.commands.caller import (
     Caller,
-    expect,
+    expect_ok,
     item_line,
     job_results,
     new_key,
     submit_job,
 )
 from quetzaldyke.commands.deployments import DEPLOYMENTS, load_deployment
-from quetzaldyke.commands.rig import Rig, start_rig, stop_rig, wait_until
+from quetzaldyke.commands.task_fleet import (
+    TaskFleet,
+    start_fleet,
+    stop_fleet,
+    wait_until,
+)
 from quetzaldyke.standins.engine_text import answer_text
 from quetzaldyke.standins.service import ServiceStandin
 
 ONLINE_REQUESTS: Final = 24
 ITEMS: Final = 60
 TOKENS: Final = 12
-TIME_LIMIT_S: Final = 28.0
-CONFLICT: Final = 409
-CREATED: Final = 201
-POLL_S: Final = 0.1
+TIMEOUT_S: Final = 28.0
+CONFLICT_STATUS: Final = 409
+CREATED_STATUS: Final = 201
+POLL_INTERVAL_S: Final = 0.1
 
 
 @dataclass(slots=True)
@@ -48,7 +53,7 @@
     config_version: int = 0
     notes: list[str] = field(default_factory=list)
 
-    def line(self) -> str:
+    def summary(self) -> str:
         """Return the closing line."""
         return (
             f'accepted={self.accepted} answered={self.answered} '
@@ -57,14 +62,14 @@
         )
 
 
-async def run_online(rig: Rig, totals: Totals, count: int) -> None:
+async def run_online(fleet: TaskFleet, totals: Totals, count: int) -> None:
     """Send online requests through all entries at once and check them."""
-    organisation = next(iter(rig.plan.organisations))
-    model = rig.plan.pools[0].name
+    organisation = next(iter(fleet.plan.organisations))
+    model = fleet.plan.pools[0].name
 
-    async def one(number: int) -> None:
-        prompt = f'message {number} of {rig.plan.name} to the order desk'
-        caller = rig.caller(organisation, number)
+    async def send_request(number: int) -> None:
+        prompt = f'message {number} of {fleet.plan.name} to the order desk'
+        caller = fleet.caller(organisation, number)
         outcome = await caller.chat(model, prompt, TOKENS)
         await caller.pool.aclose()
         totals.accepted += 1
@@ -76,21 +81,21 @@
 
     async with anyio.create_task_group() as group:
         for number in range(count):
-            group.start_soon(one, number)
+            group.start_soon(send_request, number)
 
 
-async def run_job(rig: Rig, totals: Totals) -> None:
+async def run_job(fleet: TaskFleet, totals: Totals) -> None:
     """Submit a job twice and check that each item has one result."""
-    organisation = next(iter(rig.plan.organisations))
-    model = rig.plan.pools[0].name
+    organisation = next(iter(fleet.plan.organisations))
+    model = fleet.plan.pools[0].name
     lines = [
-        item_line(number, model, f'plan {number} of {rig.plan.name}', TOKENS)
+        item_line(number, model, f'plan {number} of {fleet.plan.name}', TOKENS)
         for number in range(ITEMS)
     ]
-    caller = rig.caller(organisation)
+    caller = fleet.caller(organisation)
     key = new_key()
     job = await submit_job(caller, lines, key)
-    again = await submit_job(rig.caller(organisation, 1), lines, key)
+    again = await submit_job(fleet.caller(organisation, 1), lines, key)
     totals.accepted += ITEMS
     if again['id'] != job['id']:
         totals.duplicated += ITEMS
@@ -101,10 +106,10 @@
 async def wait_for_job(caller: Caller, job_id: str) -> dict[str, Any]:
     """Poll a job until it has ended."""
     while True:
-        job = expect(await caller.request('GET', f'/v1/batches/{job_id}'))
+        job = expect_ok(await caller.request('GET', f'/v1/batches/{job_id}'))
         if job['status'] in {'completed', 'failed', 'cancelled'}:
             return job
-        await anyio.sleep(POLL_S)
+        await anyio.sleep(POLL_INTERVAL_S)
 
 
 async def count_results(caller: Caller, job_id: str, totals: Totals) -> None:
@@ -116,19 +121,19 @@
     totals.duplicated += sum(count - 1 for count in counts.values())
 
 
-async def run_patches(rig: Rig, totals: Totals) -> None:
+async def run_patches(fleet: TaskFleet, totals: Totals) -> None:
     """Submit a current and a stale patch and wait until all have the first."""
-    operators = rig.operators()
-    current = expect(await operators.request('GET', '/config'))
+    operator = fleet.operator()
+    current = expect_ok(await operator.request('GET', '/config'))
     version = current['version']
     patch = [{'op': 'add', 'path': '/max_item_tries', 'value': 4}]
     body = {'base_version': version, 'patch_id': 'demo-1', 'patch': patch}
-    accepted = expect(
-        await operators.request('POST', '/config/patches', body),
+    accepted = expect_ok(
+        await operator.request('POST', '/config/patches', body),
     )
     stale = {'base_version': version, 'patch_id': 'demo-2', 'patch': patch}
-    status, _ = await operators.request('POST', '/config/patches', stale)
-    if status == CONFLICT:
+    status, _ = await operator.request('POST', '/config/patches', stale)
+    if status == CONFLICT_STATUS:
         totals.refused += 1
     else:
         totals.notes.append(f'a stale patch got {status}')
@@ -136,29 +141,29 @@
     await wait_until(
         lambda: all(
             entry.config.version >= totals.config_version
-            for entry in rig.entries.values()
+            for entry in fleet.entries.values()
         ),
     )
 
 
-async def run_booking(rig: Rig, totals: Totals) -> None:
+async def run_booking(fleet: TaskFleet, totals: Totals) -> None:
     """Send one booking through both entries; it runs once."""
-    organisation = next(iter(rig.plan.organisations))
-    pool = rig.plan.pools[1].name
-    booking = f'{rig.plan.name}-booking'
+    organisation = next(iter(fleet.plan.organisations))
+    pool = fleet.plan.pools[1].name
+    booking = f'{fleet.plan.name}-booking'
     key = new_key()
     for number in range(2):
-        status, _ = await rig.caller(organisation, number).request(
+        status, _ = await fleet.caller(organisation, number).request(
             'POST',
             f'/services/{pool}/bookings',
             {'id': booking},
             {'idempotency-key': key},
         )
-        if status != CREATED:
+        if status != CREATED_STATUS:
             totals.notes.append(f'booking {number} got {status}')
     runs = sum(
         endpoint.standin.executions[booking]
-        for endpoint in rig.endpoints.values()
+        for endpoint in fleet.endpoints.values()
         if isinstance(endpoint.standin, ServiceStandin)
     )
     totals.accepted += 1
@@ -167,33 +172,33 @@
     totals.duplicated += max(0, runs - 1)
 
 
-async def run_planned_stop(rig: Rig, totals: Totals) -> None:
+async def run_planned_stop(fleet: TaskFleet, totals: Totals) -> None:
     """Stop one sidecar while requests run; none may be cut."""
-    leaver = next(iter(rig.endpoints.values()))
+    stopped_endpoint = next(iter(fleet.endpoints.values()))
     async with anyio.create_task_group() as group:
-        group.start_soon(run_online, rig, totals, ONLINE_REQUESTS)
-        await anyio.sleep(POLL_S)
-        leaver.sidecar.stopping.set()
+        group.start_soon(run_online, fleet, totals, ONLINE_REQUESTS)
+        await anyio.sleep(POLL_INTERVAL_S)
+        stopped_endpoint.sidecar.stopping.set()
 
 
 async def run_deployment(name: str, totals: Totals) -> None:
     """Run every kind of work on one deployment."""
     async with anyio.create_task_group() as group:
-        rig = await start_rig(group, load_deployment(name))
-        await run_online(rig, totals, ONLINE_REQUESTS)
-        await run_job(rig, totals)
-        await run_patches(rig, totals)
-        await run_booking(rig, totals)
-        await run_planned_stop(rig, totals)
-        print(f'deployment={name} {totals.line()}', flush=True)
-        await stop_rig(rig)
+        fleet = await start_fleet(group, load_deployment(name))
+        await run_online(fleet, totals, ONLINE_REQUESTS)
+        await run_job(fleet, totals)
+        await run_patches(fleet, totals)
+        await run_booking(fleet, totals)
+        await run_planned_stop(fleet, totals)
+        print(f'deployment={name} {totals.summary()}', flush=True)
+        await stop_fleet(fleet)
         group.cancel_scope.cancel()
 
 
 async def run_demo() -> Totals:
     """Run both deployments one after the other."""
     totals = Totals()
-    with anyio.fail_after(TIME_LIMIT_S):
+    with anyio.fail_after(TIMEOUT_S):
         for name in DEPLOYMENTS:
             await run_deployment(name, totals)
     return totals
@@ -204,6 +209,6 @@
     totals = anyio.run(run_demo, backend_options={'use_uvloop': True})
     for note in totals.notes:
         print(f'note={note!r}')
-    print(totals.line())
+    print(totals.summary())
     if totals.notes or totals.lost or totals.duplicated:
         sys.exit(1)
--- a/src/quetzaldyke/commands/deployments.py
+++ b/src/quetzaldyke/commands/deployments.py
@@ -7,12 +7,12 @@
 
 from pydantic import BaseModel, ConfigDict
 
-from quetzaldyke.commands.rig import FleetPlan, PoolPlan
+from quetzaldyke.commands.task_fleet import FleetPlan, PoolPlan
 
 DEPLOYMENTS: Final = ('barf-hub', 'kymata')
 
 
-class PoolFile(BaseModel):
+class PoolSettings(BaseModel):
     """A pool in a settings file."""
 
     model_config = ConfigDict(extra='forbid')
@@ -22,7 +22,7 @@
     kind: Literal['engine', 'service'] = 'engine'
 
 
-class DeploymentFile(BaseModel):
+class DeploymentSettings(BaseModel):
     """A settings file."""
 
     model_config = ConfigDict(extra='forbid')
@@ -30,7 +30,7 @@
     name: str
     failure_domains: tuple[str, ...]
     entries: int
-    pools: tuple[PoolFile, ...]
+    pools: tuple[PoolSettings, ...]
     organisations: dict[str, str]
 
 
@@ -38,14 +38,14 @@
     """Read and check the settings file of a deployment."""
     folder = resources.files('quetzaldyke.commands')
     text = folder.joinpath(f'{name}.json').read_text()
-    given = DeploymentFile.model_validate_json(text)
+    settings = DeploymentSettings.model_validate_json(text)
     pools = tuple(
-        PoolPlan(pool.name, pool.replicas, pool.kind) for pool in given.pools
+        PoolPlan(pool.name, pool.replicas, pool.kind) for pool in settings.pools
     )
     return FleetPlan(
-        given.name,
-        given.failure_domains,
-        given.entries,
+        settings.name,
+        settings.failure_domains,
+        settings.entries,
         pools,
-        given.organisations,
+        settings.organisations,
     )
--- a/src/quetzaldyke/commands/explain.py
+++ b/src/quetzaldyke/commands/explain.py
@@ -4,8 +4,8 @@
 
 import sys
 
-from quetzaldyke.commands.timeline import gather
-from quetzaldyke.process.explain import explain as tell
+from quetzaldyke.commands.timeline import collect_events
+from quetzaldyke.process.explain import explain as render_explanation
 
 
 def explain(
@@ -15,6 +15,6 @@
     operator_key: str = '',
 ) -> None:
     """Print the history of an id from the live fleet or from log files."""
-    name = str(subject)
-    events = gather(files, name, operators_address, operator_key)
-    sys.stdout.write(tell(name, events))
+    subject_id = str(subject)
+    events = collect_events(files, subject_id, operators_address, operator_key)
+    sys.stdout.write(render_explanation(subject_id, events))
--- a/src/quetzaldyke/commands/http_client.py
+++ b/src/quetzaldyke/commands/http_client.py
@@ -13,13 +13,13 @@
 
 from quetzaldyke.process.settings import flag_of, variable_of
 
-REFUSED_STATUS: Final = 1
-USAGE_STATUS: Final = 2
-UNREACHED_STATUS: Final = 3
-ERROR_LIMIT: Final = 400
-CONNECT_S: Final = 5.0
-DEFAULT_READ_S: Final = 60.0
-FAULTS: Final = (
+EXIT_REFUSED: Final = 1
+EXIT_USAGE: Final = 2
+EXIT_UNREACHABLE: Final = 3
+FIRST_ERROR_STATUS: Final = 400
+CONNECT_TIMEOUT_S: Final = 5.0
+DEFAULT_READ_TIMEOUT_S: Final = 60.0
+TRANSPORT_ERRORS: Final = (
     httpcore.NetworkError,
     httpcore.ProtocolError,
     httpcore.TimeoutException,
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class Response:
     """Response to one call; status 0 when none came."""
 
     status: int
@@ -36,7 +36,7 @@
     @property
     def ok(self) -> bool:
         """Tell whether the call was carried out."""
-        return 0 < self.status < ERROR_LIMIT
+        return 0 < self.status < FIRST_ERROR_STATUS
 
     def document(self) -> dict[str, Any]:
         """Return the JSON object, or one that holds the text."""
@@ -64,68 +64,68 @@
         path: str,
         content: bytes = b'',
         headers: Mapping[str, str] | None = None,
-        read_s: float = DEFAULT_READ_S,
-    ) -> Answer:
+        read_timeout_s: float = DEFAULT_READ_TIMEOUT_S,
+    ) -> Response:
         """Make one call; a lost answer has status 0."""
-        named = {
+        all_headers = {
             'authorization': f'Bearer {self.key}',
             'content-type': 'application/json',
             **(headers or {}),
         }
         timeouts = {
-            'connect': CONNECT_S,
-            'pool': CONNECT_S,
-            'write': DEFAULT_READ_S,
-            'read': read_s,
+            'connect': CONNECT_TIMEOUT_S,
+            'pool': CONNECT_TIMEOUT_S,
+            'write': DEFAULT_READ_TIMEOUT_S,
+            'read': read_timeout_s,
         }
         try:
             response = self.pool.request(
                 method,
                 f'http://{self.address}{path}',
-                headers=list(named.items()),
+                headers=list(all_headers.items()),
                 content=content,
                 extensions={'timeout': timeouts},
             )
-        except FAULTS as exc:
-            return Answer(0, repr(exc).encode())
-        return Answer(response.status, response.content)
+        except TRANSPORT_ERRORS as exc:
+            return Response(0, repr(exc).encode())
+        return Response(response.status, response.content)
 
 
-def setting(name: str, given: object) -> str:
+def required_setting(name: str, given: object) -> str:
     """Return a flag or its variable; exits when neither is set."""
     text = str(given) if given else os.environ.get(variable_of(name), '')
     if not text:
         sys.stderr.write(
             f'{flag_of(name)} / {variable_of(name)}: is required\n',
         )
-        sys.exit(USAGE_STATUS)
+        sys.exit(EXIT_USAGE)
     return text
 
 
 def operators_client(address: object, key: object) -> Client:
     """Return a client of an entry's operators' listener."""
     return Client(
-        setting('operators_address', address),
-        setting('operator_key', key),
+        required_setting('operators_address', address),
+        required_setting('operator_key', key),
     )
 
 
 def callers_client(address: object, key: object) -> Client:
     """Return a client of an entry's callers' listener."""
     return Client(
-        setting('callers_address', address),
-        setting('caller_key', key),
+        required_setting('callers_address', address),
+        required_setting('caller_key', key),
     )
 
 
-def finish(answer: Answer) -> None:
+def print_response(response: Response) -> None:
     """Print a JSON answer; exit with a status when it is an error."""
-    text = json.dumps(answer.document(), indent=2, ensure_ascii=False)
+    text = json.dumps(response.document(), indent=2, ensure_ascii=False)
     print(text)
-    exit_unless_ok(answer)
+    exit_on_error(response)
 
 
-def exit_unless_ok(answer: Answer) -> None:
+def exit_on_error(response: Response) -> None:
     """Exit with the status that tells refused from not reached."""
-    if not answer.ok:
-        sys.exit(REFUSED_STATUS if answer.status else UNREACHED_STATUS)
+    if not response.ok:
+        sys.exit(EXIT_REFUSED if response.status else EXIT_UNREACHABLE)
--- a/src/quetzaldyke/commands/job.py
+++ b/src/quetzaldyke/commands/job.py
@@ -9,14 +9,14 @@
 from typing import Any, Final
 
 from quetzaldyke.commands.http_client import (
-    Answer,
+    Response,
     Client,
     callers_client,
-    exit_unless_ok,
-    finish,
+    exit_on_error,
+    print_response,
 )
 
-MAX_SENDS: Final = 5
+MAX_ATTEMPTS: Final = 5
 BOUNDARY_PREFIX: Final = 'quetzaldyke-'
 
 
@@ -37,7 +37,7 @@
     client = callers_client(callers_address, caller_key)
     uploaded = upload(client, Path(file))
     if not uploaded.ok:
-        finish(uploaded)
+        print_response(uploaded)
     body: dict[str, Any] = {
         'input_file_id': uploaded.document()['id'],
         'endpoint': endpoint,
@@ -46,20 +46,20 @@
         body['deadline'] = {'local': deadline, 'zone': zone}
     headers = {'idempotency-key': str(idempotency_key or uuid.uuid4())}
     sys.stderr.write(f'idempotency key {headers["idempotency-key"]}\n')
-    answer = Answer(0, b'')
-    for _ in range(MAX_SENDS):
-        answer = client.call(
+    response = Response(0, b'')
+    for _ in range(MAX_ATTEMPTS):
+        response = client.call(
             'POST',
             '/v1/batches',
             json.dumps(body).encode(),
             headers,
         )
-        if answer.status:
+        if response.status:
             break
-    finish(answer)
+    print_response(response)
 
 
-def upload(client: Client, path: Path) -> Answer:
+def upload(client: Client, path: Path) -> Response:
     """Upload a file as a multipart form."""
     boundary = f'{BOUNDARY_PREFIX}{uuid.uuid4().hex}'
     name = path.name.replace('"', '_')
@@ -71,8 +71,10 @@
     )
     content = parts.encode() + path.read_bytes()
     content += f'\r\n--{boundary}--\r\n'.encode()
-    kind = f'multipart/form-data; boundary={boundary}'
-    return client.call('POST', '/v1/files', content, {'content-type': kind})
+    content_type = f'multipart/form-data; boundary={boundary}'
+    return client.call(
+        'POST', '/v1/files', content, {'content-type': content_type}
+    )
 
 
 def status(
@@ -82,7 +84,7 @@
 ) -> None:
     """Print how a job stands, with its estimate and risk."""
     client = callers_client(callers_address, caller_key)
-    finish(client.call('GET', f'/v1/batches/{job_id}'))
+    print_response(client.call('GET', f'/v1/batches/{job_id}'))
 
 
 def cancel(
@@ -92,7 +94,7 @@
 ) -> None:
     """Cancel a job."""
     client = callers_client(callers_address, caller_key)
-    finish(client.call('POST', f'/v1/batches/{job_id}/cancel'))
+    print_response(client.call('POST', f'/v1/batches/{job_id}/cancel'))
 
 
 def results(
@@ -105,14 +107,14 @@
     client = callers_client(callers_address, caller_key)
     job = client.call('GET', f'/v1/batches/{job_id}')
     if not job.ok:
-        finish(job)
-    which = 'error_file_id' if errors else 'output_file_id'
-    file_id = job.document().get(which)
+        print_response(job)
+    file_field = 'error_file_id' if errors else 'output_file_id'
+    file_id = job.document().get(file_field)
     if not file_id:
         return
-    answer = client.call('GET', f'/v1/files/{file_id}/content')
-    sys.stdout.write(answer.content.decode())
-    exit_unless_ok(answer)
+    response = client.call('GET', f'/v1/files/{file_id}/content')
+    sys.stdout.write(response.content.decode())
+    exit_on_error(response)
 
 
 JOB_COMMANDS: Final = {
--- a/src/quetzaldyke/commands/probes.py
+++ b/src/quetzaldyke/commands/probes.py
@@ -72,7 +72,7 @@
     return Hello(1, 'entry', name, 'a', name)
 
 
-async def ignore_open(session: PeerSession) -> None:
+async def open_session(session: PeerSession) -> None:
     """Create the table that each link of an entry has."""
     CallTable(session)
 
@@ -92,7 +92,7 @@
         HybridClock(name),
         lambda: hello(name),
         lambda: 1,
-        ignore_open,
+        open_session,
         ignore_message,
         ignore_close,
     )
@@ -136,7 +136,7 @@
     return share * 100
 
 
-def configuration_of(organisations: int) -> Configuration:
+def make_configuration(organisations: int) -> Configuration:
     """Return a configuration with this many organisations."""
     return Configuration(
         organisations={
@@ -151,12 +151,12 @@
 
 async def document_kb(organisations: int) -> float:
     """KB of the stored configuration document."""
-    return len(pack_document(configuration_of(organisations))) / 1024
+    return len(pack_document(make_configuration(organisations))) / 1024
 
 
 async def adopt_ms(organisations: int) -> float:
     """CPU in ms to unpack and validate a whole document."""
-    document = pack_document(configuration_of(organisations))
+    document = pack_document(make_configuration(organisations))
     started_s = time.process_time()
     unpack_document(document)
     return (time.process_time() - started_s) * 1000
--- a/src/quetzaldyke/commands/probes_fleet.py
+++ b/src/quetzaldyke/commands/probes_fleet.py
@@ -10,14 +10,14 @@
 import anyio
 
 from quetzaldyke.commands.process_fleet import ProcessFleet, start_fleet
-from quetzaldyke.commands.rig import FleetPlan, PoolPlan
+from quetzaldyke.commands.task_fleet import FleetPlan, PoolPlan
 from quetzaldyke.standins.engine_options import EngineOptions
 
 ORGANISATION: Final = 'capacity'
 POOL: Final = 'model'
 ROLES: Final = ('entry', 'sidecar')
 REQUESTS: Final = 120
-LANES: Final = 12
+WORKERS: Final = 12
 IDLE_S: Final = 4.0
 SETTLE_S: Final = 2.0
 US_IN_S: Final = 1_000_000
@@ -29,7 +29,7 @@
 )
 
 
-def plan_of(entries: int, endpoints: int) -> FleetPlan:
+def make_plan(entries: int, endpoints: int) -> FleetPlan:
     """Return a deployment of this size."""
     return FleetPlan(
         'capacity',
@@ -41,38 +41,42 @@
 
 
 @asynccontextmanager
-async def running(entries: int, endpoints: int) -> AsyncIterator[ProcessFleet]:
+async def running_fleet(
+    entries: int, endpoints: int
+) -> AsyncIterator[ProcessFleet]:
     """Run a fleet that has settled."""
     async with AsyncExitStack() as stack:
-        fleet = await start_fleet(stack, plan_of(entries, endpoints))
+        fleet = await start_fleet(stack, make_plan(entries, endpoints))
         await anyio.sleep(SETTLE_S)
         yield fleet
 
 
-async def drive(fleet: ProcessFleet, tokens: int) -> None:
+async def send_requests(fleet: ProcessFleet, tokens: int) -> None:
     """Send requests over several lanes."""
 
-    async def lane(number: int) -> None:
+    async def worker(number: int) -> None:
         caller = fleet.caller(ORGANISATION, number)
-        for turn in range(REQUESTS // LANES):
-            outcome = await caller.chat(POOL, f'{number} {turn}', tokens)
+        for request_number in range(REQUESTS // WORKERS):
+            outcome = await caller.chat(
+                POOL, f'{number} {request_number}', tokens
+            )
             if not outcome.whole:
                 raise RuntimeError(f'the answer is broken: {outcome.error}')
         await caller.pool.aclose()
 
     async with anyio.create_task_group() as group:
-        for number in range(LANES):
-            group.start_soon(lane, number)
+        for number in range(WORKERS):
+            group.start_soon(worker, number)
 
 
 async def relay_costs(tokens: int) -> dict[str, float]:
     """Return CPU in us for one request of this many tokens, by role."""
-    async with running(1, 1) as fleet:
-        await drive(fleet, 4)
-        before = {role: fleet.named(role)[0].cpu_s() for role in ROLES}
-        await drive(fleet, tokens)
+    async with running_fleet(1, 1) as fleet:
+        await send_requests(fleet, 4)
+        before = {role: fleet.with_role(role)[0].cpu_s() for role in ROLES}
+        await send_requests(fleet, tokens)
         return {
-            f'{role}_relay': (fleet.named(role)[0].cpu_s() - before[role])
+            f'{role}_relay': (fleet.with_role(role)[0].cpu_s() - before[role])
             / REQUESTS
             * US_IN_S
             for role in ROLES
@@ -81,33 +85,33 @@
 
 async def idle_costs(fleet: ProcessFleet, role: str) -> dict[str, float]:
     """Return what one idle process of a role uses, averaged."""
-    members = fleet.named(role)
+    members = fleet.with_role(role)
     before = sum(one.cpu_s() for one in members)
-    calls_before = await calls_of(fleet)
+    calls_before = await count_store_calls(fleet)
     await anyio.sleep(IDLE_S)
     used_s = sum(one.cpu_s() for one in members) - before
     return {
         f'{role}_idle': used_s / len(members) / IDLE_S * 100,
         f'{role}_memory': fmean([one.memory_mb() for one in members]),
-        'store_calls': (await calls_of(fleet) - calls_before) / IDLE_S,
+        'store_calls': (await count_store_calls(fleet) - calls_before) / IDLE_S,
     }
 
 
 async def entry_costs(endpoints: int) -> dict[str, float]:
     """Return what an idle entry before `endpoints` sidecars uses."""
-    async with running(1, endpoints) as fleet:
-        found = await idle_costs(fleet, 'entry')
-        found.pop('store_calls')
-        return found
+    async with running_fleet(1, endpoints) as fleet:
+        costs = await idle_costs(fleet, 'entry')
+        costs.pop('store_calls')
+        return costs
 
 
 async def sidecar_costs(entries: int) -> dict[str, float]:
     """Return what an idle sidecar behind `entries` entries uses."""
-    async with running(entries, 1) as fleet:
+    async with running_fleet(entries, 1) as fleet:
         return await idle_costs(fleet, 'sidecar')
 
 
-async def calls_of(fleet: ProcessFleet) -> int:
+async def count_store_calls(fleet: ProcessFleet) -> int:
     """Return all calls that the key-value service has got."""
     control = fleet.control('kv')
     _, counts = await control.request('GET', '/counts')
--- a/src/quetzaldyke/commands/process_fleet.py
+++ b/src/quetzaldyke/commands/process_fleet.py
@@ -22,26 +22,26 @@
 from anyio.abc import Process
 
 from quetzaldyke.commands.caller import Caller
-from quetzaldyke.commands.rig import (
+from quetzaldyke.commands.task_fleet import (
     FLEET_SECRET,
     OPERATOR_KEY,
     FleetPlan,
     PoolPlan,
-    document_of,
+    setup_patch,
 )
 
 HOST: Final = '127.0.0.1'
-START_LIMIT_S: Final = 30.0
-STOP_LIMIT_S: Final = 8.0
-POLL_S: Final = 0.05
+START_TIMEOUT_S: Final = 30.0
+STOP_TIMEOUT_S: Final = 8.0
+POLL_INTERVAL_S: Final = 0.05
 OK_STATUS: Final = 200
 # The last characters of a child's standard error that a report shows.
-ERROR_CHARS: Final = 2_000
+MAX_ERROR_CHARS: Final = 2_000
 # Each process starts at another place, so that two runs seldom meet.
-PORTS: Final = iter(range(10_000 + os.getpid() * 37 % 15_000, 32_000))
-CLOCK_TICKS: Final = os.sysconf('SC_CLK_TCK')
+CANDIDATE_PORTS: Final = iter(range(10_000 + os.getpid() * 37 % 15_000, 32_000))
+CLOCK_TICKS_PER_S: Final = os.sysconf('SC_CLK_TCK')
 # utime and stime count from the end of the command's name in stat.
-UTIME_FIELD: Final = 11
+UTIME_INDEX: Final = 11
 
 
 @dataclass(slots=True)
@@ -64,8 +64,8 @@
         except OSError:
             return 0.0
         fields = text.rpartition(')')[2].split()
-        ticks = int(fields[UTIME_FIELD]) + int(fields[UTIME_FIELD + 1])
-        return ticks / CLOCK_TICKS
+        ticks = int(fields[UTIME_INDEX]) + int(fields[UTIME_INDEX + 1])
+        return ticks / CLOCK_TICKS_PER_S
 
     def memory_mb(self) -> float:
         """Return the resident memory of the process."""
@@ -100,7 +100,7 @@
         """Return a client of a stand-in's control routes."""
         return Caller(self.members[name].address, 'none')
 
-    def named(self, role: str) -> list[Member]:
+    def with_role(self, role: str) -> list[Member]:
         """Return the processes of a role."""
         return [one for one in self.members.values() if one.role == role]
 
@@ -112,7 +112,7 @@
     outgoing connections, so that none of those can take one before the
     process that it is meant for listens.
     """
-    for port in PORTS:
+    for port in CANDIDATE_PORTS:
         with socket.socket() as probe:
             try:
                 probe.bind((HOST, port))
@@ -141,18 +141,20 @@
     }
 
 
-def exit_report(member: Member) -> str:
+def describe_exit(member: Member) -> str:
     """Return how a process ended, with the end of what it wrote."""
     member.errors.seek(0)
     text = member.errors.read().decode(errors='replace').strip()
     status = member.process.returncode
-    return f'{member.name} ended with status {status}: {text[-ERROR_CHARS:]}'
+    return (
+        f'{member.name} ended with status {status}: {text[-MAX_ERROR_CHARS:]}'
+    )
 
 
-def raise_for_exits(fleet: ProcessFleet) -> None:
+def raise_if_exited(fleet: ProcessFleet) -> None:
     """Raise with the errors of the processes that have ended."""
     ended = [
-        exit_report(member)
+        describe_exit(member)
         for member in fleet.members.values()
         if member.process.returncode is not None
     ]
@@ -173,13 +175,13 @@
     flags: Mapping[str, object],
 ) -> Member:
     """Start one process of the fleet."""
-    given = [
+    command_flags = [
         f'--{flag.replace("_", "-")}={setting}'
         for flag, setting in flags.items()
     ]
     errors = tempfile.TemporaryFile()
     process = await anyio.open_process(
-        [sys.executable, '-m', 'quetzaldyke', *arguments, *given],
+        [sys.executable, '-m', 'quetzaldyke', *arguments, *command_flags],
         stdin=DEVNULL,
         stdout=DEVNULL,
         stderr=errors,
@@ -256,10 +258,10 @@
     for member in (endpoint, sidecar):
         member.pool = pool.name
         member.failure_domain = domain
-    fleet.rows[name] = row_of(name, 'sidecar', address, domain, pool.name)
+    fleet.rows[name] = instance_row(name, 'sidecar', address, domain, pool.name)
 
 
-def row_of(
+def instance_row(
     name: str,
     role: str,
     address: str,
@@ -302,7 +304,7 @@
     )
     fleet.callers.append(callers)
     fleet.operators.append(operators)
-    fleet.rows[name] = row_of(name, 'entry', peers, domain)
+    fleet.rows[name] = instance_row(name, 'entry', peers, domain)
 
 
 async def start_fleet(stack: AsyncExitStack, plan: FleetPlan) -> ProcessFleet:
@@ -317,30 +319,32 @@
     for number in range(plan.entries):
         await start_entry(fleet, number)
     try:
-        await set_up(fleet, plan)
+        await configure(fleet, plan)
     except TimeoutError:
-        raise_for_exits(fleet)
+        raise_if_exited(fleet)
         raise
     return fleet
 
 
-async def set_up(fleet: ProcessFleet, plan: FleetPlan) -> None:
+async def configure(fleet: ProcessFleet, plan: FleetPlan) -> None:
     """Register the instances and wait until the entries are ready."""
-    with anyio.fail_after(START_LIMIT_S):
+    with anyio.fail_after(START_TIMEOUT_S):
         for name, row in fleet.rows.items():
             path = f'/instances/{name}'
-            await until_ok(fleet.control('instances'), 'PUT', path, row)
+            await repeat_until_ok(fleet.control('instances'), 'PUT', path, row)
         patch = {
             'base_version': 0,
             'patch_id': f'{plan.name}-setup',
-            'patch': document_of(plan),
+            'patch': setup_patch(plan),
         }
-        await until_ok(fleet.operator(), 'POST', '/config/patches', patch)
+        await repeat_until_ok(
+            fleet.operator(), 'POST', '/config/patches', patch
+        )
         for number in range(plan.entries):
-            await until_ready(fleet, number)
+            await wait_until_ready(fleet, number)
 
 
-async def until_ok(
+async def repeat_until_ok(
     caller: Caller,
     method: str,
     path: str,
@@ -355,22 +359,22 @@
         if status == OK_STATUS:
             await caller.pool.aclose()
             return content
-        await anyio.sleep(POLL_S)
+        await anyio.sleep(POLL_INTERVAL_S)
 
 
-async def until_ready(fleet: ProcessFleet, number: int) -> None:
+async def wait_until_ready(fleet: ProcessFleet, number: int) -> None:
     """Wait until an entry has the configuration and every endpoint."""
     operator = fleet.operator(number)
-    sidecars = len(fleet.named('sidecar'))
+    sidecars = len(fleet.with_role('sidecar'))
     while True:
-        content: Any = await until_ok(operator, 'GET', '/fleet', None)
+        content: Any = await repeat_until_ok(operator, 'GET', '/fleet', None)
         usable = sum(
             bool(one.get('report', {}) and one['report'].get('endpoint_up'))
             for one in content.get('instances', ())
         )
         if usable >= sidecars:
             return
-        await anyio.sleep(POLL_S)
+        await anyio.sleep(POLL_INTERVAL_S)
 
 
 async def stop_fleet(fleet: ProcessFleet) -> None:
@@ -379,7 +383,7 @@
         for member in fleet.members.values():
             if member.process.returncode is None:
                 member.process.terminate()
-        with anyio.move_on_after(STOP_LIMIT_S):
+        with anyio.move_on_after(STOP_TIMEOUT_S):
             for member in fleet.members.values():
                 await member.process.wait()
         for member in fleet.members.values():
--- a/src/quetzaldyke/commands/slopes.py
+++ b/src/quetzaldyke/commands/slopes.py
@@ -47,12 +47,12 @@
     """
     mean_size = fmean(sizes)
     mean_cost = fmean(costs)
-    over = sum(
+    covariance_sum = sum(
         (size - mean_size) * (cost - mean_cost)
         for size, cost in zip(sizes, costs, strict=True)
     )
-    under = sum((size - mean_size) ** 2 for size in sizes)
-    per_unit = over / under if under else 0.0
+    variance_sum = sum((size - mean_size) ** 2 for size in sizes)
+    per_unit = covariance_sum / variance_sum if variance_sum else 0.0
     return per_unit, mean_cost - per_unit * mean_size
 
 
@@ -63,17 +63,18 @@
     runs: int,
 ) -> list[Slope]:
     """Run a probe several times at each size and fit a line to each cost."""
-    found: dict[str, list[list[float]]] = {name: [] for name in units}
+    costs_by_name: dict[str, list[list[float]]] = {name: [] for name in units}
     for size in sizes:
         results = [await probe(size) for _ in range(runs)]
         for name in units:
-            found[name].append([one[name] for one in results])
+            costs_by_name[name].append([one[name] for one in results])
     return [
-        slope_of(name, unit, sizes, found[name]) for name, unit in units.items()
+        fit_slope(name, unit, sizes, costs_by_name[name])
+        for name, unit in units.items()
     ]
 
 
-def slope_of(
+def fit_slope(
     name: str,
     unit: str,
     sizes: Sequence[int],
--- a/src/quetzaldyke/commands/standin.py
+++ b/src/quetzaldyke/commands/standin.py
@@ -31,7 +31,7 @@
 )
 from quetzaldyke.standins.service import ServiceOptions, run_service
 
-USAGE_STATUS: Final = 2
+EXIT_USAGE: Final = 2
 
 
 class Standin(Protocol):
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class StandinKind:
     """One kind of stand-in."""
 
     options: type[Any]
@@ -55,12 +55,14 @@
 
 
 KINDS: Final = {
-    'kv': Kind(KvOptions, run_kv),
-    'engine': Kind(EngineOptions, run_engine),
-    'service': Kind(ServiceOptions, run_service),
-    'instances': Kind(InstancesOptions, run_instances),
-    'platform-store': Kind(PlatformStoreOptions, run_platform_store),
-    'platform-endpoint': Kind(PlatformEndpointOptions, run_platform_endpoint),
+    'kv': StandinKind(KvOptions, run_kv),
+    'engine': StandinKind(EngineOptions, run_engine),
+    'service': StandinKind(ServiceOptions, run_service),
+    'instances': StandinKind(InstancesOptions, run_instances),
+    'platform-store': StandinKind(PlatformStoreOptions, run_platform_store),
+    'platform-endpoint': StandinKind(
+        PlatformEndpointOptions, run_platform_endpoint
+    ),
 }
 
 
@@ -79,36 +81,36 @@
         return Err(errors)
     model = KINDS[kind].options
     defaults = dataclasses.asdict(model())
-    given: dict[str, object] = {}
-    for name, setting in flags.items():
-        place = f'--{name.replace("_", "-")}'
+    parsed: dict[str, object] = {}
+    for name, raw in flags.items():
+        flag = f'--{name.replace("_", "-")}'
         if name not in defaults:
-            errors.add(place, 'is not a flag of this stand-in')
+            errors.add(flag, 'is not a flag of this stand-in')
             continue
         expected = type(defaults[name])
-        given[name] = as_type(setting, expected)
-        if given[name] is None:
-            errors.add(place, f'must be of type {expected.__name__}')
-    check_given_address(given, errors)
-    return Err(errors) if errors.found else Ok(model(**given))
+        parsed[name] = convert_flag(raw, expected)
+        if parsed[name] is None:
+            errors.add(flag, f'must be of type {expected.__name__}')
+    check_address_flag(parsed, errors)
+    return Err(errors) if errors.found else Ok(model(**parsed))
 
 
-def as_type(setting: object, expected: type) -> object:
+def convert_flag(raw: object, expected: type) -> object:
     """Return a flag's value in the type of its field, or None."""
     # bool is a kind of int, but not a number here.
-    if isinstance(setting, bool) is not (expected is bool):
+    if isinstance(raw, bool) is not (expected is bool):
         return None
-    if expected is float and isinstance(setting, int):
-        return float(setting)
-    if expected is str and isinstance(setting, int | float):
-        return str(setting)
-    return setting if isinstance(setting, expected) else None
+    if expected is float and isinstance(raw, int):
+        return float(raw)
+    if expected is str and isinstance(raw, int | float):
+        return str(raw)
+    return raw if isinstance(raw, expected) else None
 
 
-def check_given_address(given: dict[str, object], errors: Errors) -> None:
+def check_address_flag(parsed: dict[str, object], errors: Errors) -> None:
     """Check the listener's address if one was given."""
     try:
-        check_address(str(given.get('address', '127.0.0.1:0')))
+        check_address(str(parsed.get('address', '127.0.0.1:0')))
     except ValueError as exc:
         errors.add('--address', str(exc))
 
@@ -135,7 +137,7 @@
     options = parse_options(kind, flags)
     if isinstance(options, Err):
         print(options.err_value.render(), file=sys.stderr)
-        sys.exit(USAGE_STATUS)
+        sys.exit(EXIT_USAGE)
     anyio.run(
         serve_standin,
         kind,
--- a/src/quetzaldyke/commands/rig.py
+++ b/src/quetzaldyke/commands/task_fleet.py
@@ -37,7 +37,7 @@
 ANY_PORT: Final = '127.0.0.1:0'
 FLEET_SECRET: Final = 'loopback-fleet-secret'
 OPERATOR_KEY: Final = 'loopback-operator-key'
-READY_POLL_S: Final = 0.02
+POLL_INTERVAL_S: Final = 0.02
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,7 +79,7 @@
 
 
 @dataclass(slots=True)
-class Rig:
+class TaskFleet:
     """A running fleet."""
 
     plan: FleetPlan
@@ -90,7 +90,7 @@
     entries: dict[str, EntryProcess] = field(default_factory=dict)
     scopes: dict[str, anyio.CancelScope] = field(default_factory=dict)
 
-    def operators(self, number: int = 0) -> Caller:
+    def operator(self, number: int = 0) -> Caller:
         """Return an operator at one of the entries."""
         entry = list(self.entries.values())[number]
         return Caller(entry.operators_address, OPERATOR_KEY)
@@ -103,14 +103,14 @@
             self.plan.organisations[organisation],
         )
 
-    def domain_of(self, number: int) -> str:
+    def failure_domain_for(self, number: int) -> str:
         """Deal instances over the failure domains."""
         domains = self.plan.failure_domains
         return domains[number % len(domains)]
 
 
-async def start_scoped(
-    rig: Rig,
+async def start_cancellable(
+    fleet: TaskFleet,
     run: Callable[..., Any],
     settings: object,
 ) -> tuple[Any, anyio.CancelScope]:
@@ -121,24 +121,26 @@
         with scope:
             await run(settings, task_status=task_status)
 
-    return await rig.group.start(scoped), scope
+    return await fleet.group.start(scoped), scope
 
 
-async def start_endpoint(rig: Rig, pool: PoolPlan, number: int) -> Endpoint:
+async def start_endpoint(
+    fleet: TaskFleet, pool: PoolPlan, number: int
+) -> Endpoint:
     """Start an endpoint and its sidecar, and list them."""
-    name = f'{rig.plan.name}-{pool.name}-{number}'
+    name = f'{fleet.plan.name}-{pool.name}-{number}'
     standin: EngineStandin | ServiceStandin
     if pool.kind == 'engine':
         options = replace(pool.engine, model=pool.name, seed=number)
-        standin = await rig.group.start(run_engine, options)
+        standin = await fleet.group.start(run_engine, options)
     else:
-        standin = await rig.group.start(
+        standin = await fleet.group.start(
             run_service,
             ServiceOptions(name=name),
         )
     settings = SidecarSettings(
         instance=name,
-        failure_domain=rig.domain_of(number),
+        failure_domain=fleet.failure_domain_for(number),
         peer_address=ANY_PORT,
         fleet_secret=FLEET_SECRET,
         endpoint_address=standin.address,
@@ -147,15 +149,15 @@
         max_streams=pool.max_streams or pool.engine.max_streams,
         max_queue=pool.max_queue,
     )
-    sidecar, scope = await start_scoped(rig, run_sidecar, settings)
+    sidecar, scope = await start_cancellable(fleet, run_sidecar, settings)
     endpoint = Endpoint(name, pool.name, standin, sidecar, scope, settings)
-    rig.endpoints[name] = endpoint
-    list_instance(rig, name, 'sidecar', sidecar.peer_address, settings)
+    fleet.endpoints[name] = endpoint
+    register_instance(fleet, name, 'sidecar', sidecar.peer_address, settings)
     return endpoint
 
 
-def list_instance(
-    rig: Rig,
+def register_instance(
+    fleet: TaskFleet,
     name: str,
     role: str,
     address: str,
@@ -171,37 +173,37 @@
         'pool': getattr(settings, 'pool', ''),
         'state': state,
     }
-    rig.instances.change(name, row)
+    fleet.instances.change(name, row)
 
 
-async def start_entry(rig: Rig, number: int) -> EntryProcess:
+async def start_entry(fleet: TaskFleet, number: int) -> EntryProcess:
     """Start one entry and list it."""
-    name = f'{rig.plan.name}-entry-{number}'
+    name = f'{fleet.plan.name}-entry-{number}'
     settings = EntrySettings(
         instance=name,
-        failure_domain=rig.domain_of(number),
+        failure_domain=fleet.failure_domain_for(number),
         peer_address=ANY_PORT,
         fleet_secret=FLEET_SECRET,
         callers_address=ANY_PORT,
         operators_address=ANY_PORT,
         operator_key=OPERATOR_KEY,
-        kv_address=rig.kv.address,
-        instances_address=rig.instances.address,
-        linger_s=rig.plan.linger_s,
+        kv_address=fleet.kv.address,
+        instances_address=fleet.instances.address,
+        linger_s=fleet.plan.linger_s,
     )
 
     async def run(given: EntrySettings, *, task_status: Any) -> None:
         await run_entry(given, parts=ENTRY_PARTS, task_status=task_status)
 
     entry: EntryProcess
-    entry, scope = await start_scoped(rig, run, settings)
-    rig.entries[name] = entry
-    rig.scopes[name] = scope
-    list_instance(rig, name, 'entry', entry.peer_address, settings)
+    entry, scope = await start_cancellable(fleet, run, settings)
+    fleet.entries[name] = entry
+    fleet.scopes[name] = scope
+    register_instance(fleet, name, 'entry', entry.peer_address, settings)
     return entry
 
 
-def document_of(plan: FleetPlan) -> list[dict[str, object]]:
+def setup_patch(plan: FleetPlan) -> list[dict[str, object]]:
     """Return the patch that sets up a deployment."""
     pools = {
         pool.name: {'kind': pool.kind, 'model': pool.name}
@@ -222,9 +224,9 @@
     ]
 
 
-async def start_rig(group: TaskGroup, plan: FleetPlan) -> Rig:
+async def start_fleet(group: TaskGroup, plan: FleetPlan) -> TaskFleet:
     """Start a deployment and wait until every entry reaches its endpoints."""
-    rig = Rig(
+    fleet = TaskFleet(
         plan,
         group,
         await group.start(run_kv, KvOptions()),
@@ -232,51 +234,51 @@
     )
     for pool in plan.pools:
         for number in range(pool.replicas):
-            await start_endpoint(rig, pool, number)
+            await start_endpoint(fleet, pool, number)
     for number in range(plan.entries):
-        await start_entry(rig, number)
-    status, answer = await rig.operators().request(
+        await start_entry(fleet, number)
+    status, answer = await fleet.operator().request(
         'POST',
         '/config/patches',
         {
             'base_version': 0,
             'patch_id': f'{plan.name}-setup',
-            'patch': document_of(plan),
+            'patch': setup_patch(plan),
         },
     )
     if status != 200:
         raise RuntimeError(f'the configuration was refused: {answer!r}')
-    await wait_until(lambda: is_ready(rig))
-    return rig
+    await wait_until(lambda: is_ready(fleet))
+    return fleet
 
 
-def is_ready(rig: Rig) -> bool:
+def is_ready(fleet: TaskFleet) -> bool:
     """Tell whether each entry has the configuration and all endpoints."""
     return all(
         entry.config.version >= 1
         and sum(link.usable for link in entry.fleet.links.values())
-        == len(rig.endpoints)
-        for entry in rig.entries.values()
+        == len(fleet.endpoints)
+        for entry in fleet.entries.values()
     )
 
 
 async def wait_until(
     condition: Callable[[], bool],
-    limit_s: float = 20.0,
+    timeout_s: float = 20.0,
 ) -> None:
     """Wait for a condition; raises TimeoutError after the limit."""
-    with anyio.fail_after(limit_s):
+    with anyio.fail_after(timeout_s):
         while not condition():
-            await anyio.sleep(READY_POLL_S)
+            await anyio.sleep(POLL_INTERVAL_S)
 
 
-async def stop_rig(rig: Rig) -> None:
+async def stop_fleet(fleet: TaskFleet) -> None:
     """Stop everything as planned, entries first."""
-    for entry in rig.entries.values():
+    for entry in fleet.entries.values():
         entry.stopping.set()
-    for endpoint in rig.endpoints.values():
+    for endpoint in fleet.endpoints.values():
         endpoint.sidecar.stopping.set()
-    rig.kv.outage.stopping.set()
-    rig.instances.outage.stopping.set()
-    for endpoint in rig.endpoints.values():
+    fleet.kv.outage.stopping.set()
+    fleet.instances.outage.stopping.set()
+    for endpoint in fleet.endpoints.values():
         endpoint.standin.outage.stopping.set()
--- a/src/quetzaldyke/commands/timeline.py
+++ b/src/quetzaldyke/commands/timeline.py
@@ -8,7 +8,7 @@
 from typing import Final
 from urllib.parse import urlencode
 
-from quetzaldyke.commands.http_client import finish, operators_client
+from quetzaldyke.commands.http_client import print_response, operators_client
 from quetzaldyke.parts.hlc import Stamp
 from quetzaldyke.parts.timeline import Event, merge
 from quetzaldyke.process.event_query import event_from_row, matches
@@ -18,7 +18,7 @@
 MAX_EVENTS: Final = 2000
 ESCAPES: Final = {'n': '\n', 'r': '\r'}
 MS_IN_S: Final = 1000
-NOT_FIELDS: Final = frozenset(('event', 'stamp', 'process'))
+EVENT_ATTRIBUTES: Final = frozenset(('event', 'stamp', 'process'))
 
 
 def split_pairs(line: str) -> Iterator[tuple[str, str]]:
@@ -68,7 +68,7 @@
     return Stamp(int(wall_ms), int(counter), process)
 
 
-def parse_time(fields: dict[str, str], number: int) -> Stamp | None:
+def stamp_from_time(fields: dict[str, str], line_number: int) -> Stamp | None:
     """Return the stamp of a line that has only a Unix time.
 
     The line's number keeps lines of one millisecond apart and in order.
@@ -81,17 +81,21 @@
     process = fields.get('process', '')
     if not (seconds.isdecimal() and fraction.isdecimal() and process):
         return None
-    return Stamp(round(float(text) * MS_IN_S), number, process)
+    return Stamp(round(float(text) * MS_IN_S), line_number, process)
 
 
-def parse_line(line: str, number: int = 0) -> Event | None:
+def parse_line(line: str, line_number: int = 0) -> Event | None:
     """Return the event of a log line; None for lines of other programs."""
     fields = dict(split_pairs(line.rstrip('\n')))
-    stamp = parse_stamp(fields.get('stamp', '')) or parse_time(fields, number)
+    stamp = parse_stamp(fields.get('stamp', '')) or stamp_from_time(
+        fields, line_number
+    )
     if stamp is None or 'event' not in fields:
         return None
-    kept = {key: text for key, text in fields.items() if key not in NOT_FIELDS}
-    return Event(stamp, fields['event'], kept)
+    event_fields = {
+        key: text for key, text in fields.items() if key not in EVENT_ATTRIBUTES
+    }
+    return Event(stamp, fields['event'], event_fields)
 
 
 def read_log(path: str) -> list[Event]:
@@ -99,8 +103,8 @@
     with Path(path).open(errors='replace') as lines:
         events = [
             event
-            for number, line in enumerate(lines)
-            if (event := parse_line(line, number))
+            for line_number, line in enumerate(lines)
+            if (event := parse_line(line, line_number))
         ]
     return sorted(events, key=lambda event: event.stamp)
 
@@ -108,17 +112,19 @@
 def read_live(address: str, key: str, contains: str) -> list[Event]:
     """Return the events that an entry gathers from its peers."""
     query = urlencode({'contains': contains, 'limit': MAX_EVENTS})
-    answer = operators_client(address, key).call('GET', f'/events?{query}')
-    if not answer.ok:
-        finish(answer)
-    events = [event_from_row(row) for row in answer.document()['events']]
+    response = operators_client(address, key).call('GET', f'/events?{query}')
+    if not response.ok:
+        print_response(response)
+    events = [event_from_row(row) for row in response.document()['events']]
     return sorted(
         (event for event in events if event is not None),
         key=lambda event: event.stamp,
     )
 
 
-def merged(buffers: Iterable[list[Event]], contains: str) -> list[Event]:
+def merge_matching(
+    buffers: Iterable[list[Event]], contains: str
+) -> list[Event]:
     """Return matching events in order, each once.
 
     A file and a live buffer often hold the same event; its stamp is unique.
@@ -127,7 +133,7 @@
     return [event for event in by_stamp.values() if matches(event, contains)]
 
 
-def gather(
+def collect_events(
     files: Iterable[str],
     contains: str,
     address: str,
@@ -137,7 +143,7 @@
     buffers = [read_log(str(path)) for path in files]
     if address or not buffers:
         buffers.append(read_live(address, key, contains))
-    return merged(buffers, contains)
+    return merge_matching(buffers, contains)
 
 
 def render_event(event: Event) -> str:
@@ -155,5 +161,7 @@
     operator_key: str = '',
 ) -> None:
     """Print the events of log files and the live fleet in stamp order."""
-    found = gather(files, str(contains), operators_address, operator_key)
+    found = collect_events(
+        files, str(contains), operators_address, operator_key
+    )
     sys.stdout.writelines(f'{render_event(event)}\n' for event in found)
--- a/src/quetzaldyke/commands/waiting.py
+++ b/src/quetzaldyke/commands/waiting.py
@@ -34,22 +34,22 @@
 from quetzaldyke.version.rollout import RolloutMonitor
 
 KEY: Final = 'waiting-probe-key'
-WAIT_S: Final = 10.0
-SETTLE_S: Final = 0.5
-WAITERS: Final = (1, 10, 100)
+ADOPT_DELAY_S: Final = 10.0
+START_SPREAD_S: Final = 0.5
+WAITER_COUNTS: Final = (1, 10, 100)
 POLL_INTERVALS_S: Final = (1.0, 0.1)
 MS_IN_S: Final = 1000
 PERCENT: Final = 100
 
 
 @dataclass(slots=True)
-class Probe:
+class EntryProbe:
     """One entry's configuration with its operators' listener."""
 
     holder: ConfigHolder
     address: str = ''
     calls: int = 0
-    done_s: list[float] = field(default_factory=list)
+    finished_s: list[float] = field(default_factory=list)
 
 
 @dataclass(slots=True)
@@ -60,7 +60,7 @@
     of the processor time at 100 clients.
     """
 
-    probe: Probe
+    probe: EntryProbe
     pool: httpcore.AsyncConnectionPool
 
     async def get(self, path: str) -> dict[str, object]:
@@ -102,7 +102,7 @@
     )
 
 
-Way = Callable[[Waiter, int], Awaitable[None]]
+WaitMethod = Callable[[Waiter, int], Awaitable[None]]
 
 
 async def wait_once(waiter: Waiter, version: int) -> None:
@@ -110,7 +110,7 @@
     await waiter.get(f'/config/wait?version={version}&timeout_s=60')
 
 
-def poll_every(interval_s: float) -> Way:
+def poll_every(interval_s: float) -> WaitMethod:
     """Return a way to wait that asks again and again."""
 
     async def poll(waiter: Waiter, version: int) -> None:
@@ -121,36 +121,36 @@
 
 
 async def measure(
-    probe: Probe,
+    probe: EntryProbe,
     name: str,
     waiters: int,
-    wait: Way,
+    wait: WaitMethod,
 ) -> None:
     """Let some clients wait for the next version and print the figures."""
     version = probe.holder.version + 1
     probe.calls = 0
-    probe.done_s = []
+    probe.finished_s = []
 
     async def client(number: int) -> None:
         # Clients of an interval don't all ask at the same moment.
-        await anyio.sleep(SETTLE_S * number / waiters)
+        await anyio.sleep(START_SPREAD_S * number / waiters)
         async with httpcore.AsyncConnectionPool(max_connections=1) as pool:
             await wait(Waiter(probe, pool), version)
-        probe.done_s.append(time.monotonic())
+        probe.finished_s.append(time.monotonic())
 
     cpu_s = time.process_time()
     async with anyio.create_task_group() as group:
         for number in range(waiters):
             group.start_soon(client, number)
-        await anyio.sleep(WAIT_S)
+        await anyio.sleep(ADOPT_DELAY_S)
         adopted_s = time.monotonic()
         probe.holder.adopt(version, pack_document(EMPTY))
     used_s = time.process_time() - cpu_s
-    delays_ms = [(done - adopted_s) * MS_IN_S for done in probe.done_s]
+    delays_ms = [(done - adopted_s) * MS_IN_S for done in probe.finished_s]
     print(
         f'{name:<14} waiters={waiters:<4} calls={probe.calls:<6} '
         f'cpu_ms={used_s * MS_IN_S:<8.0f} '
-        f'core_percent={used_s / WAIT_S * PERCENT:<6.2f} '
+        f'core_percent={used_s / ADOPT_DELAY_S * PERCENT:<6.2f} '
         f'delay_ms median={statistics.median(delays_ms):<8.1f} '
         f'max={max(delays_ms):.1f}',
     )
@@ -159,13 +159,13 @@
 async def run_all() -> None:
     """Measure each way with each number of waiters."""
     holder = ConfigHolder()
-    probe = Probe(holder)
+    probe = EntryProbe(holder)
     async with anyio.create_task_group() as group:
         app = make_operators_app(make_context(holder))
         options = HttpOptions('127.0.0.1:0', 1)
         server = await group.start(serve_http, app, options, anyio.Event())
         probe.address = server.address
-        for waiters in WAITERS:
+        for waiters in WAITER_COUNTS:
             await measure(probe, 'wait', waiters, wait_once)
             for interval_s in POLL_INTERVALS_S:
                 name = f'poll {interval_s} s'
--- a/src/quetzaldyke/main.py
+++ b/src/quetzaldyke/main.py
@@ -8,7 +8,7 @@
 
 from quetzaldyke.commands.table import COMMANDS, DAEMONS, resolve, usage
 
-USAGE_STATUS: Final = 2
+EXIT_USAGE: Final = 2
 
 
 def main() -> None:
@@ -16,7 +16,7 @@
     name, *arguments = sys.argv[1:] or ['']
     if name not in COMMANDS:
         sys.stderr.write(f'{usage()}\n')
-        sys.exit(USAGE_STATUS)
+        sys.exit(EXIT_USAGE)
     command = resolve(name)
     if name in DAEMONS:
         # fire takes 12 MB, which every sidecar would pay, and turns texts
--- a/tests/fault_scenarios.py
+++ b/tests/fault_scenarios.py
@@ -25,7 +25,7 @@
     start_entry,
     start_fleet,
 )
-from quetzaldyke.commands.rig import FleetPlan, PoolPlan
+from quetzaldyke.commands.task_fleet import FleetPlan, PoolPlan
 from quetzaldyke.standins.engine_options import EngineOptions
 from quetzaldyke.standins.engine_text import answer_text
 
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -16,8 +16,13 @@
 from quetzaldyke.commands import config, job
 from quetzaldyke.commands.check_settings import check, check_settings
 from quetzaldyke.commands.explain import explain as explain_command
-from quetzaldyke.commands.http_client import Answer
-from quetzaldyke.commands.timeline import merged, parse_line, read_log, timeline
+from quetzaldyke.commands.http_client import Response
+from quetzaldyke.commands.timeline import (
+    merge_matching,
+    parse_line,
+    read_log,
+    timeline,
+)
 from quetzaldyke.parts.hlc import Stamp
 from quetzaldyke.parts.timeline import Event
 from quetzaldyke.process.entry_table import ENTRY_PARTS
@@ -151,12 +156,12 @@
     sent: list[bytes] = []
 
     class Lossy:
-        def call(self, method: str, path: str, content: bytes) -> Answer:
+        def call(self, method: str, path: str, content: bytes) -> Response:
             """Lose the first answers."""
             sent.append(content)
-            return Answer(statuses.pop(0), b'{}')
+            return Response(statuses.pop(0), b'{}')
 
-    answer = config.send_until_known(Lossy(), b'patch', 0)  # type: ignore[arg-type]
+    answer = config.submit_with_retries(Lossy(), b'patch', 0)  # type: ignore[arg-type]
     assert answer.status == 200
     assert sent == [b'patch'] * 3
 
@@ -278,8 +283,8 @@
     first.write_text('\n'.join(['starting up', *lines[::2], 'event=cut sta']))
     second.write_text('\n'.join(lines))
     files = [read_log(str(first)), read_log(str(second))]
-    assert [one.stamp for one in merged(files, '')] == sorted(stamps)
-    assert merged(files, 'r2') == []
+    assert [one.stamp for one in merge_matching(files, '')] == sorted(stamps)
+    assert merge_matching(files, 'r2') == []
 
 
 def test_every_event_has_a_sentence() -> None:
--- a/tests/test_process_fleet.py
+++ b/tests/test_process_fleet.py
@@ -17,9 +17,9 @@
     Member,
     ProcessFleet,
     child_environment,
-    raise_for_exits,
+    raise_if_exited,
 )
-from quetzaldyke.commands.rig import FleetPlan
+from quetzaldyke.commands.task_fleet import FleetPlan
 
 pytestmark = pytest.mark.anyio
 MODES: Final = ('no_batch', 'no_priority', 'lending')
@@ -51,12 +51,12 @@
         member = Member('entry-0', 'entry', '', process, errors)
         fleet = ProcessFleet(FleetPlan('x', (), 0, (), {}), {'entry-0': member})
         with pytest.raises(FleetStartError, match='no such setting'):
-            raise_for_exits(fleet)
+            raise_if_exited(fleet)
 
 
 async def test_running_children_are_not_reported() -> None:
     """Guards against a timeout that blames processes that run."""
-    raise_for_exits(ProcessFleet(FleetPlan('x', (), 0, (), {})))
+    raise_if_exited(ProcessFleet(FleetPlan('x', (), 0, (), {})))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -11,7 +11,7 @@
 
 from quetzaldyke.commands.caller import ChatOutcome
 from quetzaldyke.commands.process_fleet import ProcessFleet, start_fleet
-from quetzaldyke.commands.rig import FleetPlan, PoolPlan
+from quetzaldyke.commands.task_fleet import FleetPlan, PoolPlan
 from quetzaldyke.standins.engine_options import EngineOptions
 from quetzaldyke.standins.engine_text import answer_text
 
@@ -36,7 +36,7 @@
 async def busy_sidecar(fleet: ProcessFleet) -> str:
     """Return the sidecar whose engine runs a stream."""
     while True:
-        for member in fleet.named('engine'):
+        for member in fleet.with_role('engine'):
             control = fleet.control(member.name)
             _, content = await control.request('GET', '/v1/requests')
             await control.pool.aclose()
@@ -89,7 +89,7 @@
         async with AsyncExitStack() as stack:
             fleet = await start_fleet(stack, PLAN)
             found = {}
-            for member in fleet.named('entry') + fleet.named('sidecar'):
+            for member in fleet.with_role('entry') + fleet.with_role('sidecar'):
                 pid = member.process.pid
                 listed = Path(f'/proc/{pid}/task/{pid}/children')
                 children = listed.read_text() if listed.exists() else ''
