--- a/src/quetzaldyke/__init__.py
+++ b/src/quetzaldyke/__init__.py
@@ -1,1 +1,1 @@
-"""Online and batch inference on one shared fleet."""
+"""Gateway for online and batch inference on one shared fleet."""
--- a/src/quetzaldyke/__main__.py
+++ b/src/quetzaldyke/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line for `python -m quetzaldyke`."""
+"""Supports running the command line as `python -m quetzaldyke`."""
 
 from __future__ import annotations
 
--- a/src/quetzaldyke/commands/__init__.py
+++ b/src/quetzaldyke/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Sub-commands of the executable."""
+"""Implements the sub-commands of the command line."""
--- a/src/quetzaldyke/commands/arrivals.py
+++ b/src/quetzaldyke/commands/arrivals.py
@@ -1,7 +1,8 @@
-"""Seeded open-loop arrivals: base load with bursts.
+"""Generates seeded open-loop arrivals: a base load with bursts.
 
-Latency is measured from the intended start of a request, so that a stall of
-the system or of the driver is not hidden by requests that were sent late.
+Latency is measured from the intended start of a request. Otherwise a stall
+of the system or of the load driver would be hidden by requests that are sent
+late (coordinated omission).
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-# Callers share prompt prefixes: each conversation repeats its opening.
+# Prompts share prefixes, as the turns of a conversation do.
 PREFIX_COUNT: Final = 12
 PREFIX_WORDS: Final = 60
 MAX_OWN_WORDS: Final = 40
@@ -19,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Burst:
-    """A stretch with a higher rate of arrivals."""
+    """An interval with a different arrival rate."""
 
     start_s: float
     end_s: float
@@ -28,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadPlan:
-    """Online load of one run."""
+    """Parameters of the online load of one run."""
 
     seed: int
     duration_s: float
@@ -37,14 +38,14 @@
     mean_tokens: int
 
     def rate_at(self, at_s: float) -> float:
-        """Return the rate of arrivals at a time of the run."""
+        """Return the arrival rate at a time of the run."""
         for burst in self.bursts:
             if burst.start_s <= at_s < burst.end_s:
                 return burst.rate_per_s
         return self.rate_per_s
 
     def in_burst(self, at_s: float) -> bool:
-        """Tell whether a time lies in a burst."""
+        """Return whether a time of the run is in a burst."""
         return any(one.start_s <= at_s < one.end_s for one in self.bursts)
 
 
@@ -59,12 +60,12 @@
 
 
 def prefix_text(number: int) -> str:
-    """Return the opening of a conversation."""
+    """Return the prompt prefix that a conversation shares."""
     return ' '.join(f'p{number}w{word}' for word in range(PREFIX_WORDS))
 
 
 def arrivals(plan: LoadPlan) -> Iterator[Arrival]:
-    """Yield the requests of a run; the same seed gives the same requests."""
+    """Yield the requests of a run, which depend only on the plan."""
     rng = random.Random(plan.seed)  # noqa: S311
     at_s = 0.0
     number = 0
--- a/src/quetzaldyke/commands/bench.py
+++ b/src/quetzaldyke/commands/bench.py
@@ -1,8 +1,8 @@
-"""Compares policies on the same arrivals and prints figures.
+"""Benchmarks scheduling policies on the same arrivals and prints figures.
 
-The load is open-loop and latency counts from the intended start. Each mode
-runs on its own fleet, one after the other, so that they don't share a
-processor.
+The load is open-loop, and latency counts from the intended start. Modes run
+one after the other, each on its own fleet, so that they don't compete for
+processors.
 """
 
 from __future__ import annotations
@@ -49,21 +49,21 @@
 OK_STATUS: Final = 200
 QUICK_WINDOW_S: Final = 3.0
 FULL_WINDOW_S: Final = 40.0
-# Several times as long as one item runs; a shorter window ends before the
-# first items do and says nothing about the use of idle slots.
+# Several times the duration of one item; a shorter window ends before the
+# first items do, so that its idle slot figures are meaningless.
 BATCH_WINDOW_S: Final = 10.0
 WARM_UP_S: Final = 0.5
-# Online load as a share of what the endpoints can answer.
+# Online load as a fraction of the capacity of the endpoints.
 BASE_LOAD: Final = 0.5
 BURST_LOAD: Final = 0.9
 BATCH_AS_ONLINE_CALLERS: Final = 60
-# Requests of callers; items of jobs have other ids.
+# Prefix of the ids of online requests; ids of job items differ.
 ONLINE_PREFIX: Final = 'req-'
 
 
 @dataclass(slots=True)
 class ModeRun:
-    """One mode on one fleet."""
+    """One mode running on its fleet."""
 
     mode: Mode
     fleet: ProcessFleet
@@ -74,19 +74,19 @@
 
     @property
     def elapsed_s(self) -> float:
-        """Return the time since the start of the window."""
+        """Return the seconds since the start of the window."""
         return time.monotonic() - self.started_s
 
 
 def load_plan(window_s: float, seed: int) -> LoadPlan:
-    """Return the online load of a window: half of capacity and a burst."""
+    """Return an online load of half the capacity with one burst."""
     capacity = endpoint_requests_per_s(TOKENS) * REPLICAS
     burst = Burst(window_s * 0.5, window_s * 0.75, capacity * BURST_LOAD)
     return LoadPlan(seed, window_s, capacity * BASE_LOAD, (burst,), TOKENS)
 
 
 async def drive_online(run: ModeRun) -> None:
-    """Send every arrival at its intended time."""
+    """Send every request at its intended time, without waiting for others."""
     callers = [run.fleet.caller(ORGANISATION, number) for number in range(2)]
     async with anyio.create_task_group() as group:
         for number, arrival in enumerate(arrivals(run.plan)):
@@ -96,7 +96,7 @@
 
 
 async def send_online(run: ModeRun, caller: Caller, arrival: Arrival) -> None:
-    """Send one request and record what the caller saw."""
+    """Send one online request and record its outcome."""
     figures = run.figures
     figures.online_sent += 1
     run.online_running += 1
@@ -115,7 +115,7 @@
     arrival: Arrival,
     outcome: ChatOutcome,
 ) -> None:
-    """Record one online request."""
+    """Count an online request as refused, broken or answered."""
     if outcome.status != OK_STATUS:
         figures.online_refused += 1
         figures.notes.append(outcome.error[:160])
@@ -123,7 +123,9 @@
     expected = answer_text(arrival.prompt, arrival.max_tokens)
     if not outcome.whole or outcome.text != expected:
         figures.online_broken += 1
-        figures.notes.append(f'broken answer: {outcome.error}'[:160])
+        figures.notes.append(
+            f'incomplete or wrong answer: {outcome.error}'[:160]
+        )
         return
     figures.online_answered += 1
     figures.record_ttft(outcome.ttft_s, arrival.in_burst)
@@ -132,7 +134,7 @@
 
 
 async def sample_slots(run: ModeRun) -> None:
-    """Sample how many slots online work leaves and batch uses."""
+    """Sample the slots that online work leaves idle and batch uses."""
     engines = [
         run.fleet.control(member.name)
         for member in run.fleet.with_role('engine')
@@ -145,7 +147,10 @@
 
 
 async def sample_engine(figures: Figures, engine: Caller) -> None:
-    """Count the streams of one engine by class."""
+    """Add one sample of an engine's idle and batch slots.
+
+    An engine that can't be reached is skipped.
+    """
     try:
         _, content = await engine.request('GET', '/v1/requests')
     except (httpcore.NetworkError, httpcore.ProtocolError):
@@ -157,7 +162,7 @@
 
 
 async def send_batch_as_online(run: ModeRun) -> None:
-    """Send batch items as plain requests, as many at once as slots."""
+    """Send batch items as online requests from many concurrent callers."""
     caller = run.fleet.caller(ORGANISATION)
 
     async def worker(number: int) -> None:
@@ -176,7 +181,7 @@
 
 
 async def run_job(run: ModeRun) -> None:
-    """Submit a job that outlasts the window, and check all its results."""
+    """Submit a job that outlasts the window and check all its results."""
     capacity = endpoint_requests_per_s(ITEM_TOKENS) * REPLICAS
     count = int(capacity * run.plan.duration_s * 0.75)
     prompts = [f'draft {number} of the rota' for number in range(count)]
@@ -194,7 +199,7 @@
 
 
 async def items_finished(run: ModeRun) -> int:
-    """Return the batch items that the engines have finished so far."""
+    """Return the number of batch items that engines have finished."""
     counts = [
         await read_counts(run.fleet, member.name)
         for member in run.fleet.with_role('engine')
@@ -204,7 +209,7 @@
 
 
 async def read_counts(fleet: ProcessFleet, name: str) -> dict[str, Any]:
-    """Return the counters of a stand-in; zeros when it is gone."""
+    """Return the counters of a stand-in; zeros if it can't be reached."""
     control = fleet.control(name)
     try:
         _, content = await control.request('GET', '/counts')
@@ -220,7 +225,7 @@
     prompts: list[str],
     rows: list[dict[str, object]],
 ) -> None:
-    """Count missing, repeated and wrong results."""
+    """Count recorded, duplicated and wrong results."""
     counts = Counter(str(row['custom_id']) for row in rows)
     run.figures.items_recorded = len(counts)
     run.figures.items_duplicated = sum(counts.values()) - len(counts)
@@ -231,7 +236,7 @@
 
 
 def result_text(row: dict[str, object]) -> str:
-    """Return the text of a result row, empty for a failed item."""
+    """Return the generated text of a result, empty for a failed item."""
     match row:
         case {'response': {'body': {'choices': [{'message': message}, *_]}}}:
             return str(message['content'])
@@ -243,7 +248,7 @@
     plan: LoadPlan,
     fault_scenario: FaultScenario | None = None,
 ) -> Figures:
-    """Run one mode on a fleet of its own."""
+    """Run one mode on its own fleet and return its figures."""
     figures = Figures(mode.name)
     async with AsyncExitStack() as stack:
         fleet = await start_fleet(stack, mode.plan())
@@ -256,7 +261,7 @@
 async def run_window(
     run: ModeRun, fault_scenario: FaultScenario | None
 ) -> None:
-    """Drive all load of one window and wait for its end."""
+    """Generate the load of one window and record figures until it ends."""
     figures = run.figures
     before = await read_counts(run.fleet, 'kv')
     cpu_before = cpu_by_role(run.fleet)
@@ -286,7 +291,7 @@
 
 
 def cpu_by_role(fleet: ProcessFleet) -> dict[str, float]:
-    """Return the processor time that one process of a role used, averaged."""
+    """Return the mean CPU time of a process by role, and of this driver."""
     roles = {member.role for member in fleet.members.values()}
     used = {
         role: fmean([one.cpu_s() for one in fleet.with_role(role)])
@@ -299,7 +304,10 @@
     figures_by_mode: dict[str, Figures],
     window_s: float,
 ) -> dict[str, float]:
-    """Return the figures that compare modes, as far as the window tells."""
+    """Return the ratios between modes.
+
+    Batch ratios are left out if the window is too short for them.
+    """
     no_batch = figures_by_mode['no_batch']
     lending = figures_by_mode['lending']
     no_priority = figures_by_mode['no_priority']
@@ -328,7 +336,7 @@
     seed: int,
     fault: str,
 ) -> dict[str, Figures]:
-    """Run every mode on the same arrivals, with a fault if one is named."""
+    """Run every mode on the same arrivals and fault; print the figures."""
     plan = load_plan(window_s, seed)
     figures_by_mode = {}
     for mode in MODES:
@@ -347,9 +355,9 @@
     json_file: str = '',
     fault: str = 'none',
 ) -> None:
-    """Compare the policies; `--quick` ends within 45 s."""
+    """Compare the scheduling policies; `--quick` finishes within 45 s."""
     if fault not in FAULT_SCENARIOS:
-        sys.exit(f'--fault: one of {", ".join(FAULT_SCENARIOS)}')
+        sys.exit(f'--fault: must be one of {", ".join(FAULT_SCENARIOS)}')
     window_s = QUICK_WINDOW_S if quick else FULL_WINDOW_S
     figures_by_mode = anyio.run(
         run_bench,
@@ -360,7 +368,9 @@
     )
     comparison = compare(figures_by_mode, window_s)
     if window_s < BATCH_WINDOW_S:
-        print(f'note: batch rates need a window of {BATCH_WINDOW_S:g} s')
+        print(
+            f'note: batch rates need a window of at least {BATCH_WINDOW_S:g} s'
+        )
     for name, figure in comparison.items():
         print(f'figure={name} value={figure:.4g} seed={seed} fault={fault}')
     if json_file:
--- a/src/quetzaldyke/commands/bench_faults.py
+++ b/src/quetzaldyke/commands/bench_faults.py
@@ -1,4 +1,4 @@
-"""Faults that the bench injects while its load runs."""
+"""Fault scenarios that the benchmark injects under load."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
     name: str,
     **switches: object,
 ) -> None:
-    """Switch faults of a stand-in."""
+    """Set fault switches of a stand-in."""
     control = fleet.control(name)
     await control.request('PUT', '/faults', switches)
     await control.pool.aclose()
 
 
 async def endpoint_killed(fleet: ProcessFleet, window_s: float) -> None:
-    """Kill an engine and its sidecar after a third."""
+    """Kill an engine and its sidecar after a third of the window."""
     await anyio.sleep(window_s * THIRD_OF_WINDOW)
     for name in (f'engine-{ONLINE_POOL}-0', f'{ONLINE_POOL}-0'):
         fleet.members[name].process.kill()
 
 
 async def endpoint_slow(fleet: ProcessFleet, window_s: float) -> None:
-    """Slow an engine down in the middle third."""
+    """Slow an engine down in the middle third of the window."""
     name = f'engine-{ONLINE_POOL}-1'
     await anyio.sleep(window_s * THIRD_OF_WINDOW)
     await set_fault(fleet, name, slow_factor=SLOW_FACTOR)
@@ -46,14 +46,14 @@
 
 
 async def list_stale(fleet: ProcessFleet, window_s: float) -> None:
-    """Freeze the instance list, and stop an endpoint as planned."""
+    """Freeze the instance list, then gracefully stop a sidecar."""
     await set_fault(fleet, 'instances', frozen=True)
     await anyio.sleep(window_s * THIRD_OF_WINDOW)
     fleet.members[f'{ONLINE_POOL}-2'].process.terminate()
 
 
 async def store_down(fleet: ProcessFleet, window_s: float) -> None:
-    """Take the key-value service away for the middle third."""
+    """Drop all key-value calls in the middle third of the window."""
     await anyio.sleep(window_s * THIRD_OF_WINDOW)
     await set_fault(fleet, 'kv', drop_ratio=1.0)
     await anyio.sleep(window_s * THIRD_OF_WINDOW)
@@ -61,7 +61,7 @@
 
 
 async def crashing_request(fleet: ProcessFleet, window_s: float) -> None:
-    """Send a request that crashes its endpoint, again and again."""
+    """Repeatedly send a request that crashes its endpoint."""
     await anyio.sleep(window_s * THIRD_OF_WINDOW)
     for number in range(6):
         caller = fleet.caller(ORGANISATION, number)
@@ -70,7 +70,7 @@
 
 
 async def domain_lost(fleet: ProcessFleet, window_s: float) -> None:
-    """Kill everything in one failure domain but the entries."""
+    """Kill the endpoints and sidecars of one failure domain."""
     await anyio.sleep(window_s * THIRD_OF_WINDOW)
     for member in fleet.members.values():
         if member.failure_domain == 'a':
--- a/src/quetzaldyke/commands/bench_figures.py
+++ b/src/quetzaldyke/commands/bench_figures.py
@@ -1,4 +1,4 @@
-"""Figures of one bench run."""
+"""Latency histograms and counters of one benchmark run."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 MAX_LATENCY_US: Final = 120_000_000
 SIGNIFICANT_DIGITS: Final = 3
 PERCENTILES: Final = (50.0, 95.0, 99.0, 99.9)
-# Figures that mean nothing in a window shorter than a few items.
+# Figures that are meaningless in a window shorter than a few items.
 LONG_WINDOW_FIGURES: Final = frozenset(
     ('items_per_s', 'idle_use', 'kv_writes_per_item'),
 )
 
 
 def new_histogram() -> HdrHistogram:
-    """Return a histogram of times in us."""
+    """Return an empty histogram of durations in us."""
     return HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 @dataclass(slots=True)
 class Figures:
-    """What one mode did on the arrivals."""
+    """Measurements of one mode."""
 
     mode: str
     ttft: HdrHistogram = field(default_factory=new_histogram)
@@ -49,14 +49,14 @@
     notes: list[str] = field(default_factory=list)
 
     def record_ttft(self, ttft_s: float, in_burst: bool) -> None:
-        """Record a time to first token."""
+        """Record a time to first token; the unit is seconds."""
         ttft_us = max(1, int(ttft_s * US_IN_S))
         self.ttft.record_value(ttft_us)
         if in_burst:
             self.burst_ttft.record_value(ttft_us)
 
     def record_token_gap(self, gap_s: float) -> None:
-        """Record a time between tokens."""
+        """Record a time between tokens; the unit is seconds."""
         self.gaps.record_value(max(1, int(gap_s * US_IN_S)))
 
     def rows(self) -> dict[str, float]:
@@ -96,7 +96,7 @@
     def lines(self, *, batch: bool = True) -> list[str]:
         """Return one key=value line for each figure.
 
-        Without `batch` those are left out that need a long window.
+        Without `batch`, figures that need a long window are left out.
         """
         return [
             f'mode={self.mode} {name}={figure:.4g}'
@@ -106,7 +106,7 @@
 
 
 def ratio(numerator: float, denominator: float) -> float:
-    """Return a quotient, 0 without a divisor."""
+    """Return the quotient, or 0 if the denominator is 0."""
     return numerator / denominator if denominator else 0.0
 
 
--- a/src/quetzaldyke/commands/bench_modes.py
+++ b/src/quetzaldyke/commands/bench_modes.py
@@ -1,9 +1,9 @@
-"""The policies that the bench compares on the same arrivals.
+"""Scheduling policies that the benchmark compares.
 
-`no_batch`: online work alone. `no_priority`: batch items are sent like
-online requests and the engines admit everything as it arrives.
-`static_split`: some endpoints only for batch. `lending`: a job with grants,
-preemption and headroom, which is what the daemons do.
+`no_batch`: online requests only. `no_priority`: batch items are sent as
+online requests, and the engines admit everything in order of arrival.
+`static_split`: some endpoints are reserved for batch. `lending`: a job with
+grants, preemption and headroom, which is what the daemons implement.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 KEY: Final = 'bench-caller-key'
 ONLINE_POOL: Final = 'rota'
 BATCH_POOL: Final = 'drafts'
-# Without priorities the engine itself queues.
+# Passes all requests on, so that the engine queues them without priorities.
 UNLIMITED: Final = 512
 ENGINE: Final = EngineOptions(
     max_streams=8,
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Mode:
-    """One policy."""
+    """One policy and its split of the endpoints."""
 
     name: str
     replicas: int
@@ -41,7 +41,7 @@
     online: bool = True
 
     def plan(self) -> FleetPlan:
-        """Return the deployment of the policy."""
+        """Return the deployment that implements the policy."""
         online = PoolPlan(ONLINE_POOL, self.replicas, engine=ENGINE)
         if self.batch_as_online:
             online = replace(online, max_streams=UNLIMITED, max_queue=UNLIMITED)
@@ -60,7 +60,7 @@
 
     @property
     def batch_pool(self) -> str:
-        """Return the pool that the job names."""
+        """Return the pool that the job runs on."""
         return BATCH_POOL if self.batch_replicas else ONLINE_POOL
 
 
@@ -74,6 +74,6 @@
 
 
 def endpoint_requests_per_s(tokens: int) -> float:
-    """Return the requests a second that one full endpoint answers."""
+    """Return the requests per second of one fully loaded endpoint."""
     step_ms = ENGINE.step_ms + ENGINE.per_stream_ms * ENGINE.max_streams
     return ENGINE.max_streams / (tokens * step_ms / 1000)
--- a/src/quetzaldyke/commands/caller.py
+++ b/src/quetzaldyke/commands/caller.py
@@ -1,4 +1,4 @@
-"""A caller over HTTP, for the demo and the bench."""
+"""Asynchronous HTTP client for the demo, the benchmark and the tests."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def make_pool() -> httpcore.AsyncConnectionPool:
-    """Return the connections to one address."""
+    """Return a connection pool for one address."""
     return httpcore.AsyncConnectionPool(
         max_connections=MAX_CONNECTIONS,
         keepalive_expiry=KEEPALIVE_EXPIRY_S,
@@ -43,7 +43,10 @@
 
 @dataclass(slots=True)
 class ChatOutcome:
-    """What the caller saw of one request."""
+    """Result of one streamed chat completion, as the client saw it.
+
+    `whole` is set if the stream ended with its end mark and no error.
+    """
 
     status: int = 0
     text: str = ''
@@ -56,7 +59,7 @@
 
 @dataclass(slots=True)
 class Caller:
-    """Connections of one organisation's caller to one entry."""
+    """Client of one listener, authenticated by one key."""
 
     address: str
     key: str
@@ -69,7 +72,10 @@
         body: object = None,
         headers: Mapping[str, str] | None = None,
     ) -> tuple[int, object]:
-        """Make a plain call and return status and JSON content."""
+        """Send a request and return its status and content.
+
+        The content is bytes if it is not JSON. Transport errors are raised.
+        """
         content = body if isinstance(body, bytes) else orjson.dumps(body)
         response = await self.pool.request(
             method,
@@ -87,7 +93,7 @@
         self,
         extra: Mapping[str, str] | None = None,
     ) -> list[tuple[str, str]]:
-        """Return the headers of a call."""
+        """Return the headers of a request."""
         all_headers = {
             'authorization': f'Bearer {self.key}',
             'content-type': 'application/json',
@@ -101,7 +107,10 @@
         max_tokens: int,
         intended_start_s: float | None = None,
     ) -> ChatOutcome:
-        """Stream one chat completion."""
+        """Stream one chat completion; errors are recorded in the outcome.
+
+        The time to first token counts from `intended_start_s`, if given.
+        """
         outcome = ChatOutcome()
         started_s = (
             time.monotonic() if intended_start_s is None else intended_start_s
@@ -136,7 +145,7 @@
     outcome: ChatOutcome,
     started_s: float,
 ) -> None:
-    """Read a stream of chunks into the outcome."""
+    """Read a response stream and record its text and token times."""
     if response.status != OK_STATUS:
         outcome.error = (await response.aread()).decode('utf-8', 'replace')
         return
@@ -164,7 +173,7 @@
 
 
 def new_key() -> str:
-    """Return a UUIDv7: the time in ms and random bits."""
+    """Return a UUIDv7, made from the time in ms and random bits."""
     stamp = int(time.time() * MS_IN_S).to_bytes(TIME_BYTES, 'big')
     data = bytearray(stamp + secrets.token_bytes(UUID_BYTES - TIME_BYTES))
     data[VERSION_BYTE] = VERSION_BITS | data[VERSION_BYTE] & VERSION_LOW_MASK
@@ -178,7 +187,7 @@
     prompt: str,
     max_tokens: int,
 ) -> dict[str, object]:
-    """Return one line of a job's input."""
+    """Return one line of a job's input file."""
     return {
         'custom_id': f'item-{number}',
         'method': 'POST',
@@ -192,7 +201,7 @@
 
 
 def multipart_body(lines: bytes) -> tuple[bytes, dict[str, str]]:
-    """Return the body and headers of an upload."""
+    """Return the multipart body and the headers of a file upload."""
     boundary = secrets.token_hex()
     body = b''.join(
         (
@@ -218,7 +227,7 @@
     key: str,
     deadline: dict[str, str] | None = None,
 ) -> dict[str, Any]:
-    """Upload the input and create the job; raises on a refusal."""
+    """Upload the input and create the job; raise RuntimeError if refused."""
     content = b'\n'.join(orjson.dumps(line) for line in lines)
     body, headers = multipart_body(content)
     stored = expect_ok(await caller.request('POST', '/v1/files', body, headers))
@@ -239,7 +248,7 @@
 
 
 async def job_results(caller: Caller, job_id: str) -> list[dict[str, Any]]:
-    """Return the recorded results of a job, failures included."""
+    """Return the recorded results of a job, including failed items."""
     results: list[dict[str, Any]] = []
     for file_kind in ('output', 'errors'):
         status, content = await caller.request(
@@ -249,14 +258,14 @@
         if status == OK_STATUS and isinstance(content, bytes):
             results.extend(orjson.loads(line) for line in content.splitlines())
         elif status == OK_STATUS and isinstance(content, dict):
-            # A single line is a JSON document by itself.
+            # A file of a single line parses as a JSON document.
             results.append(content)
     return results
 
 
 def expect_ok(answer: tuple[int, object]) -> dict[str, Any]:
-    """Return the document of a successful call."""
+    """Return the JSON object of a 200 response; else raise RuntimeError."""
     status, content = answer
     if status != OK_STATUS or not isinstance(content, dict):
-        raise RuntimeError(f'refused with {status}: {content!r}')
+        raise RuntimeError(f'request failed with status {status}: {content!r}')
     return content
--- a/src/quetzaldyke/commands/capacity.py
+++ b/src/quetzaldyke/commands/capacity.py
@@ -1,4 +1,4 @@
-"""Measures the slopes behind docs/CAPACITY.md and prints them."""
+"""Measures how costs grow with size, for docs/CAPACITY.md."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """A probe, the units of its costs and the sizes to measure at."""
+    """A probe, the units of its costs and the sizes to measure."""
 
     units: Mapping[str, str]
     probe: Probe
@@ -32,7 +32,7 @@
     probe: Callable[[int], Awaitable[float]],
     sizes: tuple[int, ...],
 ) -> Measurement:
-    """Return the measurement of a probe with one cost."""
+    """Return the measurement of a probe that returns a single cost."""
 
     async def measure_named(size: int) -> Mapping[str, float]:
         return {name: await probe(size)}
@@ -80,7 +80,7 @@
 
 
 async def measure_all() -> list[Slope]:
-    """Measure every slope, one after the other."""
+    """Run all measurements in sequence and print each fit."""
     slopes_found: list[Slope] = []
     for one in MEASUREMENTS:
         slopes = await measure(one.units, one.probe, one.sizes, one.runs)
@@ -90,5 +90,5 @@
 
 
 def capacity() -> None:
-    """Measure and print the slopes of docs/CAPACITY.md."""
+    """Measure and print the cost slopes of docs/CAPACITY.md."""
     anyio.run(measure_all, backend_options={'use_uvloop': True})
--- a/src/quetzaldyke/commands/check_settings.py
+++ b/src/quetzaldyke/commands/check_settings.py
@@ -1,4 +1,4 @@
-"""Checks a role's settings and reports every finding at once."""
+"""Validates a role's settings and reports all errors at once."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     'entry': EntrySettings,
     'sidecar': SidecarSettings,
 }
-# Variables of the commands, which are no settings of a role.
+# Environment variables that commands read and that are not role settings.
 COMMAND_VARIABLES: Final = frozenset((variable_of('caller_key'),))
 
 
@@ -34,10 +34,10 @@
     flags: Mapping[str, object],
     environ: Mapping[str, str],
 ) -> Errors:
-    """Return every mistake in a role's settings.
+    """Return all errors in a role's settings.
 
-    A variable that no role knows is one too, because a misspelt variable
-    would otherwise silently leave the default in force.
+    An environment variable that no role knows is an error, because a
+    misspelt variable would otherwise silently leave the default in effect.
     """
     errors = Errors()
     if role not in ROLES:
@@ -58,21 +58,21 @@
             variable not in known_variables
             and variable not in COMMAND_VARIABLES
         ):
-            errors.add(variable, 'is not known')
+            errors.add(variable, 'is not a known setting')
     return errors
 
 
 def check(arguments: Sequence[str], environ: Mapping[str, str]) -> Errors:
-    """Check a command line: the role, then its flags."""
+    """Validate a command line that consists of a role and its flags."""
     role, *flags = arguments or ['']
     return check_role(role, parse_flags(flags), environ)
 
 
 def check_settings(*_arguments: str, **_flags: object) -> None:
-    """Print every finding with its flag and variable; exit with 2 on any.
+    """Print all errors with their flag and variable; exit with 2 on any.
 
-    Reads the process's own arguments, because the command-line library
-    turns texts that look like numbers into numbers.
+    Reads sys.argv, because fire converts strings that look like numbers to
+    numbers.
     """
     errors = check(sys.argv[2:], os.environ)
     if errors.found:
--- a/src/quetzaldyke/commands/config.py
+++ b/src/quetzaldyke/commands/config.py
@@ -1,4 +1,4 @@
-"""Reads and changes the configuration through an entry."""
+"""Commands that read and change the configuration through an entry."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 
 
 def get(operators_address: str = '', operator_key: str = '') -> None:
-    """Print the configuration in force at an entry."""
+    """Print the configuration that an entry currently applies."""
     client = operators_client(operators_address, operator_key)
     print_response(client.call('GET', '/config'))
 
 
 def history(operators_address: str = '', operator_key: str = '') -> None:
-    """Print the latest patches."""
+    """Print the most recently accepted patches."""
     client = operators_client(operators_address, operator_key)
     print_response(client.call('GET', '/config/history'))
 
@@ -48,8 +48,9 @@
 ) -> None:
     """Submit a JSON Patch, given as text or in a file.
 
-    It is sent again under the same id while its outcome is unknown. The
-    base is the version in force at the entry unless one is given.
+    While the outcome is unknown, the patch is retried under the same id, so
+    that it is applied at most once. `base_version` defaults to the version
+    that the entry currently applies.
     """
     client = operators_client(operators_address, operator_key)
     operations = read_operations(patch, file)
@@ -65,19 +66,19 @@
 
 
 def read_operations(given: Any, file: str) -> list[dict[str, Any]]:
-    """Return the operations; exits when they are not a list."""
+    """Return the patch operations; exit with 2 if they are not a list."""
     if file:
         given = Path(file).read_text()
-    # The command line turns a text that is a list into a list.
+    # fire already converts an argument that is a list literal to a list.
     operations = json.loads(given) if isinstance(given, str) else given
     if not isinstance(operations, list):
-        sys.stderr.write('--patch / --file: must be a JSON Patch, a list\n')
+        sys.stderr.write('--patch / --file: must be a JSON Patch (a list)\n')
         sys.exit(EXIT_USAGE)
     return operations
 
 
 def current_version(client: Client) -> int:
-    """Return the version in force at the entry."""
+    """Return the version that the entry applies; exit on an error."""
     response = client.call('GET', '/config')
     if not response.ok:
         print_response(response)
@@ -89,7 +90,11 @@
     content: bytes,
     delay_s: float = RETRY_DELAY_S,
 ) -> Response:
-    """Send a patch until its outcome is known, at most MAX_SENDS times."""
+    """Send a patch until its outcome is known, at most MAX_ATTEMPTS times.
+
+    A lost response and a 503 leave the outcome unknown. Returns the last
+    response.
+    """
     response = client.call('POST', '/config/patches', content)
     for _ in range(MAX_ATTEMPTS - 1):
         if response.status not in {0, UNAVAILABLE_STATUS}:
@@ -105,9 +110,10 @@
     operators_address: str = '',
     operator_key: str = '',
 ) -> None:
-    """Wait until every live process has reported a version.
+    """Wait until every live process has reported a configuration version.
 
-    Exits with 1 and names the processes that lack it at the time-out.
+    On a timeout, exits with 1 and lists the processes that are behind.
+    `version` defaults to the one that the entry currently applies.
     """
     client = operators_client(operators_address, operator_key)
     if version < 0:
--- a/src/quetzaldyke/commands/daemons.py
+++ b/src/quetzaldyke/commands/daemons.py
@@ -1,4 +1,4 @@
-"""Starts the two daemons with settings from flags and the environment."""
+"""Runs the entry and sidecar daemons, configured by flags and environment."""
 
 from __future__ import annotations
 
@@ -28,13 +28,16 @@
 
 
 class Stoppable(Protocol):
-    """A running role."""
+    """A running daemon that shuts down once `stopping` is set."""
 
     stopping: anyio.Event
 
 
 def parse_flags(arguments: Sequence[str]) -> dict[str, str]:
-    """Return the flags of a command line, without a library.
+    """Parse `--name value` and `--name=value` flags into a mapping.
+
+    Dashes in names become underscores; a last flag without a value maps to
+    an empty string.
 
     >>> parse_flags(['--pool', 'orders', '--max-streams=4'])
     {'pool': 'orders', 'max_streams': '4'}
@@ -61,7 +64,7 @@
     model: type[SettingsT],
     flags: Mapping[str, object],
 ) -> SettingsT:
-    """Return checked settings, or print every finding and exit."""
+    """Return validated settings; on errors print them all and exit with 2."""
     loaded = load_settings(model, flags)
     if isinstance(loaded, Err):
         sys.stderr.write(f'{loaded.err_value.render()}\n')
@@ -70,7 +73,7 @@
 
 
 async def stop_on_signal(process: Stoppable, scope: anyio.CancelScope) -> None:
-    """Start the planned stop at SIGTERM or SIGINT; a second one ends it."""
+    """Shut down gracefully on SIGTERM or SIGINT, at once on a second one."""
     with anyio.open_signal_receiver(SIGTERM, SIGINT) as signals:
         async for _ in signals:
             if process.stopping.is_set():
@@ -82,7 +85,7 @@
     run: RunRole,
     settings: ProcessSettings,
 ) -> None:
-    """Run a role until its planned stop is complete."""
+    """Run a daemon until its graceful shutdown is complete."""
     async with anyio.create_task_group() as signal_group:
         async with anyio.create_task_group() as group:
             process = await start_role(group, run, settings)
@@ -95,28 +98,28 @@
     run: RunRole,
     settings: ProcessSettings,
 ) -> Stoppable:
-    """Start a role in a task group and return its process object."""
+    """Start a daemon in a task group and return its process object."""
     process: Stoppable = await group.start(run, settings)
     return process
 
 
 def run_daemon(run: RunRole, settings: ProcessSettings) -> None:
-    """Run a role on uvloop."""
+    """Run a daemon on uvloop, logging to standard error."""
     add_stderr_destination()
     anyio.run(run_role, run, settings, backend_options={'use_uvloop': True})
 
 
 def entry(*arguments: str) -> None:
-    """Run an entry."""
+    """Run an entry with settings from flags and the environment."""
     settings = settings_or_exit(EntrySettings, parse_flags(arguments))
-    # Imported here, because a sidecar must not load the entry's libraries.
+    # Imported lazily so that a sidecar does not load the entry's libraries.
     module = importlib.import_module('quetzaldyke.process.entry')
     table = importlib.import_module('quetzaldyke.process.entry_table')
     run_daemon(partial(module.run_entry, parts=table.ENTRY_PARTS), settings)
 
 
 def sidecar(*arguments: str) -> None:
-    """Run a sidecar."""
+    """Run a sidecar with settings from flags and the environment."""
     settings = settings_or_exit(SidecarSettings, parse_flags(arguments))
     module = importlib.import_module('quetzaldyke.process.sidecar')
     run_daemon(module.run_sidecar, settings)
--- a/src/quetzaldyke/commands/demo.py
+++ b/src/quetzaldyke/commands/demo.py
@@ -1,8 +1,8 @@
-"""Runs both users' deployments in one process and shows each kind of work.
+"""Demonstrates every kind of work on two deployments in one process.
 
-Online requests, a batch job, a stale and a current configuration patch, a
-booking that is sent twice and the planned stop of a sidecar go through the
-same roles that the daemons run, over real sockets.
+Online requests, a batch job, a current and a stale configuration patch, a
+booking that is sent twice and the graceful shutdown of a sidecar run through
+the same code as the daemons, over real sockets.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class Totals:
-    """What was accepted and what became of it."""
+    """Counts of accepted work and of its outcomes."""
 
     accepted: int = 0
     answered: int = 0
@@ -54,7 +54,7 @@
     notes: list[str] = field(default_factory=list)
 
     def summary(self) -> str:
-        """Return the closing line."""
+        """Return the totals as key=value pairs."""
         return (
             f'accepted={self.accepted} answered={self.answered} '
             f'duplicated={self.duplicated} lost={self.lost} '
@@ -63,7 +63,7 @@
 
 
 async def run_online(fleet: TaskFleet, totals: Totals, count: int) -> None:
-    """Send online requests through all entries at once and check them."""
+    """Send concurrent online requests through all entries and check them."""
     organisation = next(iter(fleet.plan.organisations))
     model = fleet.plan.pools[0].name
 
@@ -104,7 +104,7 @@
 
 
 async def wait_for_job(caller: Caller, job_id: str) -> dict[str, Any]:
-    """Poll a job until it has ended."""
+    """Poll a job until it ends and return it."""
     while True:
         job = expect_ok(await caller.request('GET', f'/v1/batches/{job_id}'))
         if job['status'] in {'completed', 'failed', 'cancelled'}:
@@ -113,7 +113,7 @@
 
 
 async def count_results(caller: Caller, job_id: str, totals: Totals) -> None:
-    """Count the results of each item."""
+    """Count answered, lost and duplicated items of a job."""
     rows = await job_results(caller, job_id)
     counts = Counter(row['custom_id'] for row in rows)
     totals.answered += len(counts)
@@ -122,7 +122,10 @@
 
 
 async def run_patches(fleet: TaskFleet, totals: Totals) -> None:
-    """Submit a current and a stale patch and wait until all have the first."""
+    """Submit a current and a stale patch; wait until all entries are updated.
+
+    Only the current patch may be accepted.
+    """
     operator = fleet.operator()
     current = expect_ok(await operator.request('GET', '/config'))
     version = current['version']
@@ -136,7 +139,7 @@
     if status == CONFLICT_STATUS:
         totals.refused += 1
     else:
-        totals.notes.append(f'a stale patch got {status}')
+        totals.notes.append(f'stale patch returned status {status}')
     totals.config_version = accepted['version']
     await wait_until(
         lambda: all(
@@ -147,7 +150,7 @@
 
 
 async def run_booking(fleet: TaskFleet, totals: Totals) -> None:
-    """Send one booking through both entries; it runs once."""
+    """Send one booking through two entries; it must run once."""
     organisation = next(iter(fleet.plan.organisations))
     pool = fleet.plan.pools[1].name
     booking = f'{fleet.plan.name}-booking'
@@ -160,7 +163,7 @@
             {'idempotency-key': key},
         )
         if status != CREATED_STATUS:
-            totals.notes.append(f'booking {number} got {status}')
+            totals.notes.append(f'booking {number} returned status {status}')
     runs = sum(
         endpoint.standin.executions[booking]
         for endpoint in fleet.endpoints.values()
@@ -173,7 +176,7 @@
 
 
 async def run_planned_stop(fleet: TaskFleet, totals: Totals) -> None:
-    """Stop one sidecar while requests run; none may be cut."""
+    """Stop one sidecar while requests run; all must still complete."""
     stopped_endpoint = next(iter(fleet.endpoints.values()))
     async with anyio.create_task_group() as group:
         group.start_soon(run_online, fleet, totals, ONLINE_REQUESTS)
@@ -196,7 +199,7 @@
 
 
 async def run_demo() -> Totals:
-    """Run both deployments one after the other."""
+    """Run the deployments in sequence; raise TimeoutError at the limit."""
     totals = Totals()
     with anyio.fail_after(TIMEOUT_S):
         for name in DEPLOYMENTS:
@@ -205,7 +208,7 @@
 
 
 def demo() -> None:
-    """Run the demo; the last line has the totals."""
+    """Run the demo and print the totals; exit with 1 on any failure."""
     totals = anyio.run(run_demo, backend_options={'use_uvloop': True})
     for note in totals.notes:
         print(f'note={note!r}')
--- a/src/quetzaldyke/commands/deployments.py
+++ b/src/quetzaldyke/commands/deployments.py
@@ -1,4 +1,4 @@
-"""Deployments of the demo, read from settings files beside this module."""
+"""Loads the demo's deployments from JSON files next to this module."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class PoolSettings(BaseModel):
-    """A pool in a settings file."""
+    """A pool in a deployment file."""
 
     model_config = ConfigDict(extra='forbid')
 
@@ -23,7 +23,7 @@
 
 
 class DeploymentSettings(BaseModel):
-    """A settings file."""
+    """Contents of a deployment file."""
 
     model_config = ConfigDict(extra='forbid')
 
@@ -35,7 +35,7 @@
 
 
 def load_deployment(name: str) -> FleetPlan:
-    """Read and check the settings file of a deployment."""
+    """Load a deployment; raise ValidationError if its file is not valid."""
     folder = resources.files('quetzaldyke.commands')
     text = folder.joinpath(f'{name}.json').read_text()
     settings = DeploymentSettings.model_validate_json(text)
--- a/src/quetzaldyke/commands/explain.py
+++ b/src/quetzaldyke/commands/explain.py
@@ -1,4 +1,4 @@
-"""Tells one request's or item's history in sentences."""
+"""Describes the history of one request or item in sentences."""
 
 from __future__ import annotations
 
@@ -14,7 +14,11 @@
     operators_address: str = '',
     operator_key: str = '',
 ) -> None:
-    """Print the history of an id from the live fleet or from log files."""
+    """Print the history of a request or item id in sentences.
+
+    Events come from log files, and from the live fleet if an address or no
+    file is given.
+    """
     subject_id = str(subject)
     events = collect_events(files, subject_id, operators_address, operator_key)
     sys.stdout.write(render_explanation(subject_id, events))
--- a/src/quetzaldyke/commands/http_client.py
+++ b/src/quetzaldyke/commands/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP client of the operators' and callers' commands."""
+"""HTTP client for the operators' and callers' commands."""
 
 from __future__ import annotations
 
@@ -28,18 +28,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """Response to one call; status 0 when none came."""
+    """Response to one request; status 0 if none was received."""
 
     status: int
     content: bytes
 
     @property
     def ok(self) -> bool:
-        """Tell whether the call was carried out."""
+        """Return whether the status reports success."""
         return 0 < self.status < FIRST_ERROR_STATUS
 
     def document(self) -> dict[str, Any]:
-        """Return the JSON object, or one that holds the text."""
+        """Return the body as a JSON object.
+
+        Other JSON is wrapped under `data`, and text under `error`.
+        """
         try:
             parsed = json.loads(self.content)
         except ValueError:
@@ -50,7 +53,7 @@
 
 @dataclass(slots=True)
 class Client:
-    """Connection of one command to one entry."""
+    """Client of one listener of an entry."""
 
     address: str
     key: str
@@ -66,7 +69,7 @@
         headers: Mapping[str, str] | None = None,
         read_timeout_s: float = DEFAULT_READ_TIMEOUT_S,
     ) -> Response:
-        """Make one call; a lost answer has status 0."""
+        """Send a request; on a transport error return status 0."""
         all_headers = {
             'authorization': f'Bearer {self.key}',
             'content-type': 'application/json',
@@ -92,7 +95,7 @@
 
 
 def required_setting(name: str, given: object) -> str:
-    """Return a flag or its variable; exits when neither is set."""
+    """Return a flag or its variable; exit with 2 if neither is set."""
     text = str(given) if given else os.environ.get(variable_of(name), '')
     if not text:
         sys.stderr.write(
@@ -119,13 +122,16 @@
 
 
 def print_response(response: Response) -> None:
-    """Print a JSON answer; exit with a status when it is an error."""
+    """Print a response as JSON; exit with an error status if it failed."""
     text = json.dumps(response.document(), indent=2, ensure_ascii=False)
     print(text)
     exit_on_error(response)
 
 
 def exit_on_error(response: Response) -> None:
-    """Exit with the status that tells refused from not reached."""
+    """Exit if the request failed.
+
+    The exit status is 1 if the entry refused it and 3 if no response came.
+    """
     if not response.ok:
         sys.exit(EXIT_REFUSED if response.status else EXIT_UNREACHABLE)
--- a/src/quetzaldyke/commands/job.py
+++ b/src/quetzaldyke/commands/job.py
@@ -1,4 +1,4 @@
-"""Submits and follows batch jobs through an entry."""
+"""Commands that submit, monitor and cancel batch jobs through an entry."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
     callers_address: str = '',
     caller_key: str = '',
 ) -> None:
-    """Upload a file of items, one JSON object a line, and create its job.
+    """Upload a JSON Lines file of items and create a job for it.
 
     `deadline` is a local time such as 2026-03-01T19:30 in the IANA `zone`.
-    Sending the same job again gives the first job.
+    Submitting the same job again returns the existing job.
     """
     client = callers_client(callers_address, caller_key)
     uploaded = upload(client, Path(file))
@@ -60,7 +60,7 @@
 
 
 def upload(client: Client, path: Path) -> Response:
-    """Upload a file as a multipart form."""
+    """Upload a batch input file as a multipart form."""
     boundary = f'{BOUNDARY_PREFIX}{uuid.uuid4().hex}'
     name = path.name.replace('"', '_')
     parts = (
@@ -82,7 +82,11 @@
     callers_address: str = '',
     caller_key: str = '',
 ) -> None:
-    """Print how a job stands, with its estimate and risk."""
+    """Print a job's status.
+
+    It includes the estimated completion time and whether the deadline is at
+    risk.
+    """
     client = callers_client(callers_address, caller_key)
     print_response(client.call('GET', f'/v1/batches/{job_id}'))
 
@@ -92,7 +96,7 @@
     callers_address: str = '',
     caller_key: str = '',
 ) -> None:
-    """Cancel a job."""
+    """Cancel a job and print its status."""
     client = callers_client(callers_address, caller_key)
     print_response(client.call('POST', f'/v1/batches/{job_id}/cancel'))
 
@@ -103,7 +107,7 @@
     callers_address: str = '',
     caller_key: str = '',
 ) -> None:
-    """Print the recorded results, or the items that failed, as lines."""
+    """Print the recorded results, or with `errors` the failed items."""
     client = callers_client(callers_address, caller_key)
     job = client.call('GET', f'/v1/batches/{job_id}')
     if not job.ok:
--- a/src/quetzaldyke/commands/probes.py
+++ b/src/quetzaldyke/commands/probes.py
@@ -1,4 +1,4 @@
-"""Measurements of single mechanisms, for the capacity page."""
+"""Measures the cost of single mechanisms, for docs/CAPACITY.md."""
 
 from __future__ import annotations
 
@@ -32,7 +32,10 @@
 
 
 async def frame_cost_us(frames_per_write: int) -> float:
-    """CPU of both ends for one token frame at a number of frames a write."""
+    """Return CPU time in us to send and receive a token frame.
+
+    It depends on how many frames are sent per write.
+    """
     listener = await anyio.create_tcp_listener(
         local_host='127.0.0.1',
         local_port=0,
@@ -68,25 +71,25 @@
 
 
 def hello(name: str) -> Hello:
-    """Return a Hello of a probe's process."""
+    """Return the Hello message of a probe's process."""
     return Hello(1, 'entry', name, 'a', name)
 
 
 async def open_session(session: PeerSession) -> None:
-    """Create the table that each link of an entry has."""
+    """Create the call table that every link of an entry has."""
     CallTable(session)
 
 
 async def ignore_message(session: PeerSession, message: Message) -> None:
-    """Drop a message."""
+    """Ignore a message."""
 
 
 def ignore_close(session: PeerSession) -> None:
-    """Do nothing at the end of a session."""
+    """Ignore the end of a session."""
 
 
 def link_options(name: str) -> LinkOptions:
-    """Return options of a process that does nothing."""
+    """Return options of links that handle no messages."""
     return LinkOptions(
         SECRET,
         HybridClock(name),
@@ -99,9 +102,9 @@
 
 
 async def idle_sessions(count: int) -> tuple[float, float]:
-    """Return KB of memory and CPU share of `count` idle sessions.
+    """Return KB of memory and CPU share of one end of `count` idle sessions.
 
-    Both ends are in this process, so half of the figures belong to one.
+    Both ends are in this process, so the measured values are halved.
     """
     gc.collect()
     tracemalloc.start()
@@ -125,19 +128,19 @@
 
 
 async def session_memory_kb(count: int) -> float:
-    """KB of memory for `count` idle sessions at one end."""
+    """Return KB of memory of one end of `count` idle sessions."""
     memory_kb, _ = await idle_sessions(count)
     return memory_kb
 
 
 async def session_cpu_percent(count: int) -> float:
-    """Per cent of a core for `count` idle sessions at one end."""
+    """Return per cent of a core for one end of `count` idle sessions."""
     _, share = await idle_sessions(count)
     return share * 100
 
 
 def make_configuration(organisations: int) -> Configuration:
-    """Return a configuration with this many organisations."""
+    """Return a configuration with a number of organisations."""
     return Configuration(
         organisations={
             f'organisation-{number}': Organisation(
@@ -150,12 +153,12 @@
 
 
 async def document_kb(organisations: int) -> float:
-    """KB of the stored configuration document."""
+    """Return KB of the stored configuration document."""
     return len(pack_document(make_configuration(organisations))) / 1024
 
 
 async def adopt_ms(organisations: int) -> float:
-    """CPU in ms to unpack and validate a whole document."""
+    """Return CPU time in ms to unpack and validate a document."""
     document = pack_document(make_configuration(organisations))
     started_s = time.process_time()
     unpack_document(document)
@@ -163,7 +166,7 @@
 
 
 async def subset_ms(entries: int) -> float:
-    """CPU in ms to choose one entry's subset among 300 endpoints."""
+    """Return CPU time in ms to choose an entry's subset of 300 endpoints."""
     names = [f'entry-{number}' for number in range(entries)]
     endpoints = [f'endpoint-{number}' for number in range(300)]
     started_s = time.process_time()
@@ -172,7 +175,7 @@
 
 
 async def owner_us(entries: int) -> float:
-    """CPU in us to find the owner of one key."""
+    """Return CPU time in us to find the owner of a key, over 50 keys."""
     names = [f'entry-{number}' for number in range(entries)]
     started_s = time.process_time()
     for number in range(50):
--- a/src/quetzaldyke/commands/probes_fleet.py
+++ b/src/quetzaldyke/commands/probes_fleet.py
@@ -1,4 +1,4 @@
-"""Measurements on fleets of real processes, for the capacity page."""
+"""Measures costs on fleets of real processes, for docs/CAPACITY.md."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def make_plan(entries: int, endpoints: int) -> FleetPlan:
-    """Return a deployment of this size."""
+    """Return a deployment with these numbers of entries and endpoints."""
     return FleetPlan(
         'capacity',
         ('a', 'b'),
@@ -44,7 +44,7 @@
 async def running_fleet(
     entries: int, endpoints: int
 ) -> AsyncIterator[ProcessFleet]:
-    """Run a fleet that has settled."""
+    """Run a fleet and yield it once start-up load has settled."""
     async with AsyncExitStack() as stack:
         fleet = await start_fleet(stack, make_plan(entries, endpoints))
         await anyio.sleep(SETTLE_S)
@@ -52,7 +52,7 @@
 
 
 async def send_requests(fleet: ProcessFleet, tokens: int) -> None:
-    """Send requests over several lanes."""
+    """Send requests from concurrent workers; raise on an incomplete answer."""
 
     async def worker(number: int) -> None:
         caller = fleet.caller(ORGANISATION, number)
@@ -61,7 +61,7 @@
                 POOL, f'{number} {request_number}', tokens
             )
             if not outcome.whole:
-                raise RuntimeError(f'the answer is broken: {outcome.error}')
+                raise RuntimeError(f'incomplete answer: {outcome.error}')
         await caller.pool.aclose()
 
     async with anyio.create_task_group() as group:
@@ -70,7 +70,7 @@
 
 
 async def relay_costs(tokens: int) -> dict[str, float]:
-    """Return CPU in us for one request of this many tokens, by role."""
+    """Return CPU time in us per request with `tokens` tokens, by role."""
     async with running_fleet(1, 1) as fleet:
         await send_requests(fleet, 4)
         before = {role: fleet.with_role(role)[0].cpu_s() for role in ROLES}
@@ -84,7 +84,10 @@
 
 
 async def idle_costs(fleet: ProcessFleet, role: str) -> dict[str, float]:
-    """Return what one idle process of a role uses, averaged."""
+    """Return mean CPU and memory of idle processes of a role.
+
+    It also returns the fleet's key-value calls per second.
+    """
     members = fleet.with_role(role)
     before = sum(one.cpu_s() for one in members)
     calls_before = await count_store_calls(fleet)
@@ -98,7 +101,7 @@
 
 
 async def entry_costs(endpoints: int) -> dict[str, float]:
-    """Return what an idle entry before `endpoints` sidecars uses."""
+    """Return the costs of an idle entry connected to `endpoints` sidecars."""
     async with running_fleet(1, endpoints) as fleet:
         costs = await idle_costs(fleet, 'entry')
         costs.pop('store_calls')
@@ -106,13 +109,13 @@
 
 
 async def sidecar_costs(entries: int) -> dict[str, float]:
-    """Return what an idle sidecar behind `entries` entries uses."""
+    """Return the costs of an idle sidecar connected to `entries` entries."""
     async with running_fleet(entries, 1) as fleet:
         return await idle_costs(fleet, 'sidecar')
 
 
 async def count_store_calls(fleet: ProcessFleet) -> int:
-    """Return all calls that the key-value service has got."""
+    """Return the number of calls that the key-value service received."""
     control = fleet.control('kv')
     _, counts = await control.request('GET', '/counts')
     await control.pool.aclose()
--- a/src/quetzaldyke/commands/process_fleet.py
+++ b/src/quetzaldyke/commands/process_fleet.py
@@ -1,7 +1,7 @@
-"""A fleet of real processes on loopback, for the bench.
+"""Runs a fleet of real processes on loopback, for benchmarks and tests.
 
-The bench is a tool of the developers: the daemons themselves start no
-process. Every role runs as operators run it, from flags and variables.
+Roles are started as in production, with flags and environment variables.
+Only this development tool starts processes; the daemons never do.
 """
 
 from __future__ import annotations
@@ -35,12 +35,13 @@
 STOP_TIMEOUT_S: Final = 8.0
 POLL_INTERVAL_S: Final = 0.05
 OK_STATUS: Final = 200
-# The last characters of a child's standard error that a report shows.
+# Length of the tail of standard error that an exit report includes.
 MAX_ERROR_CHARS: Final = 2_000
-# Each process starts at another place, so that two runs seldom meet.
+# The start depends on the process id, so that concurrent runs seldom collide.
 CANDIDATE_PORTS: Final = iter(range(10_000 + os.getpid() * 37 % 15_000, 32_000))
 CLOCK_TICKS_PER_S: Final = os.sysconf('SC_CLK_TCK')
-# utime and stime count from the end of the command's name in stat.
+# Index of utime in /proc/PID/stat, counted after the command name; stime
+# follows it.
 UTIME_INDEX: Final = 11
 
 
@@ -52,13 +53,13 @@
     role: str
     address: str
     process: Process
-    # What it writes to standard error.
+    # Captures standard error.
     errors: IO[bytes]
     pool: str = ''
     failure_domain: str = ''
 
     def cpu_s(self) -> float:
-        """Return the processor time that the process has used."""
+        """Return the CPU time that the process has used; 0 if it is gone."""
         try:
             text = Path(f'/proc/{self.process.pid}/stat').read_text()
         except OSError:
@@ -68,7 +69,7 @@
         return ticks / CLOCK_TICKS_PER_S
 
     def memory_mb(self) -> float:
-        """Return the resident memory of the process."""
+        """Return the resident memory of the process; 0 if it is gone."""
         try:
             text = Path(f'/proc/{self.process.pid}/statm').read_text()
         except OSError:
@@ -78,7 +79,7 @@
 
 @dataclass(slots=True)
 class ProcessFleet:
-    """A running fleet."""
+    """A running fleet of processes."""
 
     plan: FleetPlan
     members: dict[str, Member] = field(default_factory=dict)
@@ -87,12 +88,12 @@
     rows: dict[str, dict[str, str]] = field(default_factory=dict)
 
     def caller(self, organisation: str, number: int = 0) -> Caller:
-        """Return a caller at one of the entries."""
+        """Return a client of an entry's callers' listener."""
         address = self.callers[number % len(self.callers)]
         return Caller(address, self.plan.organisations[organisation])
 
     def operator(self, number: int = 0) -> Caller:
-        """Return an operator at one of the entries."""
+        """Return a client of an entry's operators' listener."""
         address = self.operators[number % len(self.operators)]
         return Caller(address, OPERATOR_KEY)
 
@@ -106,11 +107,11 @@
 
 
 def free_port() -> int:
-    """Return a port that is free now and that no fleet here was given.
+    """Return a free port that this process has not handed out before.
 
-    The ports are below the range from which the system takes the ports of
-    outgoing connections, so that none of those can take one before the
-    process that it is meant for listens.
+    Ports are below the ephemeral range, so that an outgoing connection
+    can't occupy one before the process it is meant for listens. Raises
+    RuntimeError when no port is left.
     """
     for port in CANDIDATE_PORTS:
         with socket.socket() as probe:
@@ -123,15 +124,16 @@
 
 
 def free_address() -> str:
-    """Return an address that is free now."""
+    """Return a loopback address with a free port."""
     return f'{HOST}:{free_port()}'
 
 
 def child_environment() -> dict[str, str]:
-    """Return the environment of a child of this process.
+    """Return the environment for child processes.
 
-    Its path is ours: the interpreter of a one-file executable finds the
-    packages only because the executable has put them on the path.
+    PYTHONPATH holds this process's sys.path: with a one-file executable,
+    only the executable itself puts the packages on the path, so a child's
+    interpreter would not find them.
     """
     return {
         'QUETZALDYKE_FLEET_SECRET': FLEET_SECRET,
@@ -142,7 +144,7 @@
 
 
 def describe_exit(member: Member) -> str:
-    """Return how a process ended, with the end of what it wrote."""
+    """Return the exit status and the tail of standard error."""
     member.errors.seek(0)
     text = member.errors.read().decode(errors='replace').strip()
     status = member.process.returncode
@@ -152,7 +154,7 @@
 
 
 def raise_if_exited(fleet: ProcessFleet) -> None:
-    """Raise with the errors of the processes that have ended."""
+    """Raise FleetStartError with the errors of processes that exited."""
     ended = [
         describe_exit(member)
         for member in fleet.members.values()
@@ -163,7 +165,7 @@
 
 
 class FleetStartError(Exception):
-    """A process of the fleet has ended before the fleet was up."""
+    """A process of the fleet exited before the fleet was ready."""
 
 
 async def start_process(
@@ -174,7 +176,7 @@
     arguments: list[str],
     flags: Mapping[str, object],
 ) -> Member:
-    """Start one process of the fleet."""
+    """Start a process without waiting for it to listen."""
     command_flags = [
         f'--{flag.replace("_", "-")}={setting}'
         for flag, setting in flags.items()
@@ -198,7 +200,7 @@
     kind: str,
     flags: Mapping[str, object],
 ) -> Member:
-    """Start a stand-in at a free address."""
+    """Start a stand-in on a free address."""
     address = free_address()
     return await start_process(
         fleet,
@@ -211,7 +213,7 @@
 
 
 def engine_flags(pool: PoolPlan, number: int) -> dict[str, object]:
-    """Return the flags of an engine's stand-in."""
+    """Return the flags of the engine stand-in of a pool."""
     return {
         'model': pool.name,
         'seed': number,
@@ -227,7 +229,7 @@
     pool: PoolPlan,
     number: int,
 ) -> None:
-    """Start an engine and its sidecar."""
+    """Start an endpoint and its sidecar."""
     domains = fleet.plan.failure_domains
     domain = domains[number % len(domains)]
     name = f'{pool.name}-{number}'
@@ -268,7 +270,7 @@
     domain: str,
     pool: str = '',
 ) -> dict[str, str]:
-    """Return a row of the instance list."""
+    """Return an instance's row in the instance list."""
     return {
         'instance': name,
         'role': role,
@@ -280,7 +282,7 @@
 
 
 async def start_entry(fleet: ProcessFleet, number: int) -> None:
-    """Start an entry."""
+    """Start an entry on free addresses."""
     domains = fleet.plan.failure_domains
     name = f'entry-{number}'
     callers, operators, peers = (free_address() for _ in range(3))
@@ -308,7 +310,11 @@
 
 
 async def start_fleet(stack: AsyncExitStack, plan: FleetPlan) -> ProcessFleet:
-    """Start a deployment and wait until every entry reaches its endpoints."""
+    """Start a deployment and wait until entries are connected to endpoints.
+
+    The fleet stops with `stack`. If it is not ready in time, raises
+    FleetStartError when a process has exited, else TimeoutError.
+    """
     fleet = ProcessFleet(plan)
     stack.push_async_callback(stop_fleet, fleet)
     await start_standin(fleet, 'kv', 'kv', {})
@@ -327,7 +333,7 @@
 
 
 async def configure(fleet: ProcessFleet, plan: FleetPlan) -> None:
-    """Register the instances and wait until the entries are ready."""
+    """Register the instances, configure them and wait for the entries."""
     with anyio.fail_after(START_TIMEOUT_S):
         for name, row in fleet.rows.items():
             path = f'/instances/{name}'
@@ -350,7 +356,7 @@
     path: str,
     body: object,
 ) -> object:
-    """Repeat a call until it succeeds."""
+    """Repeat a request until it succeeds and return its content."""
     while True:
         try:
             status, content = await caller.request(method, path, body)
@@ -363,7 +369,7 @@
 
 
 async def wait_until_ready(fleet: ProcessFleet, number: int) -> None:
-    """Wait until an entry has the configuration and every endpoint."""
+    """Wait until an entry sees every sidecar report a running endpoint."""
     operator = fleet.operator(number)
     sidecars = len(fleet.with_role('sidecar'))
     while True:
@@ -378,7 +384,7 @@
 
 
 async def stop_fleet(fleet: ProcessFleet) -> None:
-    """End every process, as planned and then by force."""
+    """Terminate every process; kill those that exceed the timeout."""
     with anyio.CancelScope(shield=True):
         for member in fleet.members.values():
             if member.process.returncode is None:
--- a/src/quetzaldyke/commands/settings_page.py
+++ b/src/quetzaldyke/commands/settings_page.py
@@ -1,4 +1,4 @@
-"""Renders docs/operations/settings.md from the settings models."""
+"""Generates docs/operations/settings.md from the settings models."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def rows(model: type[ProcessSettings]) -> Iterator[str]:
-    """Yield the table rows of a role."""
+    """Yield one table row for each setting of a role."""
     for name, field in model.model_fields.items():
         default = field.default
         shown = 'required' if default is PydanticUndefined else f'`{default}`'
@@ -38,7 +38,7 @@
 
 
 def section(title: str, model: type[ProcessSettings]) -> str:
-    """Return the section of a role."""
+    """Return the section with a role's settings table."""
     lines = [
         f'## {title}',
         '',
@@ -51,7 +51,7 @@
 
 
 def render() -> str:
-    """Return the whole page."""
+    """Return the page as Markdown."""
     return '\n'.join(
         (
             HEADING,
--- a/src/quetzaldyke/commands/slopes.py
+++ b/src/quetzaldyke/commands/slopes.py
@@ -1,4 +1,4 @@
-"""Straight-line fits of measured costs over size."""
+"""Fits straight lines to measured costs as a function of size."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
     medians: tuple[float, ...]
     per_unit: float
     base: float
-    # Largest distance of a run from its size's median, as a ratio.
+    # Largest relative deviation of a run from the median of its size.
     spread: float
 
     def at(self, size: float) -> float:
-        """Return the cost at another size."""
+        """Return the cost that the fit predicts for a size."""
         return self.base + self.per_unit * size
 
     def line(self) -> str:
-        """Return the key=value line of the fit."""
+        """Return the fit as a line of key=value pairs."""
         points = ','.join(
             f'{size}:{cost:.4g}'
             for size, cost in zip(self.sizes, self.medians, strict=True)
@@ -62,7 +62,7 @@
     sizes: Sequence[int],
     runs: int,
 ) -> list[Slope]:
-    """Run a probe several times at each size and fit a line to each cost."""
+    """Run a probe repeatedly at each size and fit a line to each cost."""
     costs_by_name: dict[str, list[list[float]]] = {name: [] for name in units}
     for size in sizes:
         results = [await probe(size) for _ in range(runs)]
--- a/src/quetzaldyke/commands/standin.py
+++ b/src/quetzaldyke/commands/standin.py
@@ -1,6 +1,6 @@
-"""Runs one stand-in of the platform as a process of its own.
+"""Runs one stand-in for a platform service as a separate process.
 
-Flags are the fields of the stand-in's options. SIGTERM and SIGINT stop it.
+Flags set the fields of the stand-in's options. SIGTERM and SIGINT stop it.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class Standin(Protocol):
-    """What all running stand-ins have."""
+    """Interface of a running stand-in."""
 
     @property
     def address(self) -> str:
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StandinKind:
-    """One kind of stand-in."""
+    """Options type and run function of one kind of stand-in."""
 
     options: type[Any]
     run: Callable[..., Coroutine[Any, Any, None]]
@@ -67,7 +67,7 @@
 
 
 def parse_options(kind: str, flags: dict[str, object]) -> Result[Any, Errors]:
-    """Return a stand-in's options, or every finding.
+    """Build a stand-in's options from flags, or return all errors.
 
     >>> parse_options('kv', {'seed': 7}).ok_value
     KvOptions(address='127.0.0.1:0', seed=7)
@@ -96,8 +96,8 @@
 
 
 def convert_flag(raw: object, expected: type) -> object:
-    """Return a flag's value in the type of its field, or None."""
-    # bool is a kind of int, but not a number here.
+    """Convert a flag's value to its field's type; None if it doesn't fit."""
+    # bool is a subclass of int, but is not accepted as a number here.
     if isinstance(raw, bool) is not (expected is bool):
         return None
     if expected is float and isinstance(raw, int):
@@ -108,7 +108,7 @@
 
 
 def check_address_flag(parsed: dict[str, object], errors: Errors) -> None:
-    """Check the listener's address if one was given."""
+    """Add an error if the listen address is not valid."""
     try:
         check_address(str(parsed.get('address', '127.0.0.1:0')))
     except ValueError as exc:
@@ -116,7 +116,7 @@
 
 
 async def serve_standin(kind: str, options: object) -> None:
-    """Run a stand-in until a signal; prints its address when it listens."""
+    """Run a stand-in until a signal; print its address once it listens."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as received:
         async with anyio.create_task_group() as group:
             standin: Standin = await group.start(KINDS[kind].run, options)
@@ -128,10 +128,11 @@
 
 
 def run_standin(kind: str, **flags: object) -> None:
-    """Run a stand-in: kv, engine, service, instances or of the platform.
+    """Run a stand-in for a platform service until a signal.
 
     Args:
-        kind: which stand-in.
+        kind: kv, engine, service, instances, platform-store or
+            platform-endpoint.
         flags: fields of its options, for example --address 127.0.0.1:7001.
     """
     options = parse_options(kind, flags)
--- a/src/quetzaldyke/commands/table.py
+++ b/src/quetzaldyke/commands/table.py
@@ -1,7 +1,7 @@
-"""Table of the sub-commands; a module is imported when it is needed.
+"""Maps sub-command names to the modules that implement them.
 
-The sidecar stands beside every endpoint, so its process must not import
-what only other commands use.
+Modules are imported lazily: a sidecar runs next to every endpoint, so its
+process must not load libraries that only other commands use.
 """
 
 from __future__ import annotations
@@ -31,7 +31,10 @@
 
 
 def resolve(name: str) -> Callable[..., object]:
-    """Import and return a sub-command."""
+    """Import the module of a sub-command and return its callable.
+
+    Raises KeyError for a name that is not in COMMANDS.
+    """
     module_name, _, attribute = COMMANDS[name].partition(':')
     module = importlib.import_module(f'quetzaldyke.commands.{module_name}')
     command: Callable[..., object] = getattr(module, attribute)
@@ -39,5 +42,5 @@
 
 
 def usage() -> str:
-    """Return the list of the sub-commands."""
+    """Return the usage line, which lists the sub-commands."""
     return f'usage: quetzaldyke {{{"|".join(COMMANDS)}}} [--flag value ...]'
--- a/src/quetzaldyke/commands/task_fleet.py
+++ b/src/quetzaldyke/commands/task_fleet.py
@@ -1,7 +1,7 @@
-"""A whole fleet on loopback in one process, for the demo and the bench.
+"""Runs a whole fleet as tasks of one process, on loopback, for the demo.
 
-Every role and stand-in is the same function that its own process runs; they
-talk over real sockets.
+Roles and stand-ins run the same functions as separate processes would and
+communicate over real sockets. The plans are also used by `process_fleet`.
 """
 
 from __future__ import annotations
@@ -42,33 +42,33 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolPlan:
-    """Endpoints of one pool."""
+    """Number, kind and options of the endpoints of one pool."""
 
     name: str
     replicas: int
     kind: str = 'engine'
     engine: EngineOptions = EngineOptions()
-    # Streams that a sidecar lets the engine run; 0 takes the engine's own.
+    # Concurrent streams that a sidecar allows; 0 means the engine's limit.
     max_streams: int = 0
     max_queue: int = 256
 
 
 @dataclass(frozen=True, slots=True)
 class FleetPlan:
-    """One deployment."""
+    """Size and configuration of one deployment."""
 
     name: str
     failure_domains: tuple[str, ...]
     entries: int
     pools: tuple[PoolPlan, ...]
-    organisations: Mapping[str, str]  # name to caller's key
+    organisations: Mapping[str, str]  # name to caller key
     lending: Sequence[Mapping[str, object]] = ()
     linger_s: float = 0.2
 
 
 @dataclass(slots=True)
 class Endpoint:
-    """One endpoint with its sidecar."""
+    """A running endpoint with its sidecar."""
 
     name: str
     pool: str
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True)
 class TaskFleet:
-    """A running fleet."""
+    """A fleet that runs in this process."""
 
     plan: FleetPlan
     group: TaskGroup
@@ -91,12 +91,12 @@
     scopes: dict[str, anyio.CancelScope] = field(default_factory=dict)
 
     def operator(self, number: int = 0) -> Caller:
-        """Return an operator at one of the entries."""
+        """Return a client of an entry's operators' listener."""
         entry = list(self.entries.values())[number]
         return Caller(entry.operators_address, OPERATOR_KEY)
 
     def caller(self, organisation: str, number: int = 0) -> Caller:
-        """Return a caller at one of the entries."""
+        """Return a client of an entry's callers' listener."""
         entry = list(self.entries.values())[number % len(self.entries)]
         return Caller(
             entry.callers_address,
@@ -104,7 +104,7 @@
         )
 
     def failure_domain_for(self, number: int) -> str:
-        """Deal instances over the failure domains."""
+        """Assign failure domains to instances in rotation."""
         domains = self.plan.failure_domains
         return domains[number % len(domains)]
 
@@ -114,7 +114,7 @@
     run: Callable[..., Any],
     settings: object,
 ) -> tuple[Any, anyio.CancelScope]:
-    """Start a role so that it can be crashed by its own scope."""
+    """Start a role; cancelling the returned scope simulates its crash."""
     scope = anyio.CancelScope()
 
     async def scoped(*, task_status: Any) -> None:
@@ -127,7 +127,7 @@
 async def start_endpoint(
     fleet: TaskFleet, pool: PoolPlan, number: int
 ) -> Endpoint:
-    """Start an endpoint and its sidecar, and list them."""
+    """Start an endpoint and its sidecar, and register the instance."""
     name = f'{fleet.plan.name}-{pool.name}-{number}'
     standin: EngineStandin | ServiceStandin
     if pool.kind == 'engine':
@@ -164,7 +164,7 @@
     settings: EntrySettings | SidecarSettings,
     state: str = 'live',
 ) -> None:
-    """Put an instance into the platform's list."""
+    """Add an instance to the platform's instance list."""
     row = {
         'instance': name,
         'role': role,
@@ -177,7 +177,7 @@
 
 
 async def start_entry(fleet: TaskFleet, number: int) -> EntryProcess:
-    """Start one entry and list it."""
+    """Start one entry and register it."""
     name = f'{fleet.plan.name}-entry-{number}'
     settings = EntrySettings(
         instance=name,
@@ -204,7 +204,7 @@
 
 
 def setup_patch(plan: FleetPlan) -> list[dict[str, object]]:
-    """Return the patch that sets up a deployment."""
+    """Return the JSON Patch that configures a deployment."""
     pools = {
         pool.name: {'kind': pool.kind, 'model': pool.name}
         for pool in plan.pools
@@ -225,7 +225,11 @@
 
 
 async def start_fleet(group: TaskGroup, plan: FleetPlan) -> TaskFleet:
-    """Start a deployment and wait until every entry reaches its endpoints."""
+    """Start a deployment and wait until entries are connected to endpoints.
+
+    Raises RuntimeError if the configuration is refused and TimeoutError if
+    the fleet does not become ready.
+    """
     fleet = TaskFleet(
         plan,
         group,
@@ -247,13 +251,13 @@
         },
     )
     if status != 200:
-        raise RuntimeError(f'the configuration was refused: {answer!r}')
+        raise RuntimeError(f'the initial configuration was refused: {answer!r}')
     await wait_until(lambda: is_ready(fleet))
     return fleet
 
 
 def is_ready(fleet: TaskFleet) -> bool:
-    """Tell whether each entry has the configuration and all endpoints."""
+    """Return whether all entries are configured and reach all endpoints."""
     return all(
         entry.config.version >= 1
         and sum(link.usable for link in entry.fleet.links.values())
@@ -266,14 +270,14 @@
     condition: Callable[[], bool],
     timeout_s: float = 20.0,
 ) -> None:
-    """Wait for a condition; raises TimeoutError after the limit."""
+    """Poll a condition until it holds; raise TimeoutError at the limit."""
     with anyio.fail_after(timeout_s):
         while not condition():
             await anyio.sleep(POLL_INTERVAL_S)
 
 
 async def stop_fleet(fleet: TaskFleet) -> None:
-    """Stop everything as planned, entries first."""
+    """Start the graceful shutdown of everything, entries first."""
     for entry in fleet.entries.values():
         entry.stopping.set()
     for endpoint in fleet.endpoints.values():
--- a/src/quetzaldyke/commands/timeline.py
+++ b/src/quetzaldyke/commands/timeline.py
@@ -1,4 +1,4 @@
-"""Merges log files and the live buffers of the fleet by stamp."""
+"""Merges log files and the fleet's event buffers by timestamp."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def read_quoted(line: str, position: int) -> tuple[str, int]:
-    """Return a quoted text and the position after its closing quote."""
+    """Return an unescaped string and the position after its closing quote."""
     chars: list[str] = []
     while position < len(line) and line[position] != '"':
         if line[position] == '\\':
@@ -56,7 +56,7 @@
 
 
 def parse_stamp(text: str) -> Stamp | None:
-    """Return a stamp, or None for another text.
+    """Parse a hybrid logical clock stamp; return None for other text.
 
     >>> parse_stamp('00000000000005.00002@e1')
     Stamp(wall_ms=5, counter=2, process='e1')
@@ -69,11 +69,13 @@
 
 
 def stamp_from_time(fields: dict[str, str], line_number: int) -> Stamp | None:
-    """Return the stamp of a line that has only a Unix time.
+    """Return a stamp made from the Unix time of a line that has no stamp.
 
-    The line's number keeps lines of one millisecond apart and in order.
+    The line number serves as the counter, so that lines logged in the same
+    millisecond stay distinct and in order. Returns None without a time or
+    process.
 
-    >>> parse_time({'t': '0.005', 'process': 'e1'}, 2)
+    >>> stamp_from_time({'t': '0.005', 'process': 'e1'}, 2)
     Stamp(wall_ms=5, counter=2, process='e1')
     """
     text = fields.get(TIME_FIELD, '')
@@ -85,7 +87,7 @@
 
 
 def parse_line(line: str, line_number: int = 0) -> Event | None:
-    """Return the event of a log line; None for lines of other programs."""
+    """Parse a log line; return None if it is not an event of this program."""
     fields = dict(split_pairs(line.rstrip('\n')))
     stamp = parse_stamp(fields.get('stamp', '')) or stamp_from_time(
         fields, line_number
@@ -99,7 +101,7 @@
 
 
 def read_log(path: str) -> list[Event]:
-    """Return the events of a log file in stamp order."""
+    """Return the events of a log file in timestamp order."""
     with Path(path).open(errors='replace') as lines:
         events = [
             event
@@ -110,7 +112,7 @@
 
 
 def read_live(address: str, key: str, contains: str) -> list[Event]:
-    """Return the events that an entry gathers from its peers."""
+    """Return the events that an entry collects from its peers, in order."""
     query = urlencode({'contains': contains, 'limit': MAX_EVENTS})
     response = operators_client(address, key).call('GET', f'/events?{query}')
     if not response.ok:
@@ -125,7 +127,7 @@
 def merge_matching(
     buffers: Iterable[list[Event]], contains: str
 ) -> list[Event]:
-    """Return matching events in order, each once.
+    """Return the matching events in timestamp order, without duplicates.
 
     A file and a live buffer often hold the same event; its stamp is unique.
     """
@@ -139,7 +141,10 @@
     address: str,
     key: str,
 ) -> list[Event]:
-    """Return the events of files and, with an address, of the live fleet."""
+    """Return the matching events of log files and of the live fleet.
+
+    The fleet is queried if an address or no file is given.
+    """
     buffers = [read_log(str(path)) for path in files]
     if address or not buffers:
         buffers.append(read_live(address, key, contains))
@@ -147,7 +152,7 @@
 
 
 def render_event(event: Event) -> str:
-    """Return one line of the output."""
+    """Format an event as one line of key=value pairs."""
     pairs = ' '.join(
         f'{key}={render_value(text)}' for key, text in event.fields.items()
     )
@@ -160,7 +165,10 @@
     operators_address: str = '',
     operator_key: str = '',
 ) -> None:
-    """Print the events of log files and the live fleet in stamp order."""
+    """Print events of log files and the live fleet in timestamp order.
+
+    The fleet is queried if an address or no file is given.
+    """
     found = collect_events(
         files, str(contains), operators_address, operator_key
     )
--- a/src/quetzaldyke/commands/waiting.py
+++ b/src/quetzaldyke/commands/waiting.py
@@ -1,7 +1,7 @@
-"""Measures waiting for a version against polling for it, over loopback.
+"""Benchmarks waiting for a configuration version against polling for it.
 
-Run by `python -m quetzaldyke.commands.waiting`. Server and clients share
-the process, so the processor time is that of both ends.
+Run with `python -m quetzaldyke.commands.waiting`. Server and clients share
+the process and talk over loopback, so the CPU time covers both ends.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class EntryProbe:
-    """One entry's configuration with its operators' listener."""
+    """State shared by the clients of one operators' listener."""
 
     holder: ConfigHolder
     address: str = ''
@@ -54,17 +54,17 @@
 
 @dataclass(slots=True)
 class Waiter:
-    """One client with a connection of its own.
+    """A client with its own connection.
 
-    With a pool of connections for all clients, the pool's own work was most
-    of the processor time at 100 clients.
+    With one connection pool for all clients, the pool itself accounted for
+    most of the CPU time at 100 clients.
     """
 
     probe: EntryProbe
     pool: httpcore.AsyncConnectionPool
 
     async def get(self, path: str) -> dict[str, object]:
-        """Make one call."""
+        """Send a GET request and return its JSON object."""
         self.probe.calls += 1
         response = await self.pool.request(
             'GET',
@@ -76,7 +76,7 @@
 
 
 def make_context(holder: ConfigHolder) -> OperatorsContext:
-    """Return the context of an entry without peers."""
+    """Return the operators' listener context of an entry without peers."""
     fleet = Fleet(Instance('probe', 'entry', 'a', ''), 1)
     exchange = ConfigExchange(holder, Clock(), random.random)
     rollout = RolloutMonitor(fleet, exchange, Clock())
@@ -106,12 +106,12 @@
 
 
 async def wait_once(waiter: Waiter, version: int) -> None:
-    """Block on a version."""
+    """Wait for a version with one blocking request."""
     await waiter.get(f'/config/wait?version={version}&timeout_s=60')
 
 
 def poll_every(interval_s: float) -> WaitMethod:
-    """Return a way to wait that asks again and again."""
+    """Return a wait method that polls at an interval."""
 
     async def poll(waiter: Waiter, version: int) -> None:
         while int(str((await waiter.get('/config'))['version'])) < version:
@@ -126,13 +126,13 @@
     waiters: int,
     wait: WaitMethod,
 ) -> None:
-    """Let some clients wait for the next version and print the figures."""
+    """Let clients wait for the next version and print CPU time and delays."""
     version = probe.holder.version + 1
     probe.calls = 0
     probe.finished_s = []
 
     async def client(number: int) -> None:
-        # Clients of an interval don't all ask at the same moment.
+        # Spreads the starts, so that clients don't poll at the same moment.
         await anyio.sleep(START_SPREAD_S * number / waiters)
         async with httpcore.AsyncConnectionPool(max_connections=1) as pool:
             await wait(Waiter(probe, pool), version)
@@ -157,7 +157,7 @@
 
 
 async def run_all() -> None:
-    """Measure each way with each number of waiters."""
+    """Measure each wait method with each number of clients."""
     holder = ConfigHolder()
     probe = EntryProbe(holder)
     async with anyio.create_task_group() as group:
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' and callers' commands against a running fleet."""
+"""Tests the operators' and callers' commands against a running fleet."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 async def run(command: Callable[..., None], *args: Any, **flags: Any) -> int:
-    """Run a command in a thread; return its exit status."""
+    """Run a command in a thread and return its exit status."""
 
     def call() -> int:
         try:
@@ -49,7 +49,7 @@
 def with_fleet(
     scenario: Callable[[Fleet, dict[str, str]], Awaitable[None]],
 ) -> None:
-    """Run a scenario on two entries whose configuration is stored."""
+    """Run a scenario on two entries with a stored configuration."""
 
     async def main() -> None:
         async with make_fleet(
@@ -68,7 +68,7 @@
 
 
 def test_config_commands(capsys: pytest.CaptureFixture[str]) -> None:
-    """Guards against commands that report another outcome than the fleet."""
+    """Guards against commands that misreport the outcome in the fleet."""
 
     def printed() -> Any:
         return json.loads(capsys.readouterr().out)
@@ -101,10 +101,10 @@
     with_fleet(scenario)
 
 
-def test_outage_is_told_and_the_patch_can_be_sent_again(
+def test_outage_is_reported_and_the_patch_can_be_retried(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """Guards against a lost patch, and against one that counts twice."""
+    """Guards against losing a patch or applying it twice in an outage."""
 
     async def scenario(fleet: Fleet, flags: dict[str, str]) -> None:
         fleet.kv.faults.lose_answers = 2
@@ -123,7 +123,7 @@
 
 @pytest.mark.parametrize('key', ['x', 'key-of-barf-0001', KEY[:-1]])
 def test_operators_paths_need_the_operators_key(key: str) -> None:
-    """Guards against callers who read or change the configuration."""
+    """Guards against callers that read or change the configuration."""
 
     async def scenario(fleet: Fleet, flags: dict[str, str]) -> None:
         address = fleet.entry().operators_address
@@ -150,14 +150,14 @@
     with_fleet(scenario)
 
 
-def test_patch_is_sent_again_unchanged_until_known() -> None:
-    """Guards against a resend under another id, which could count twice."""
+def test_patch_is_retried_unchanged_until_outcome_is_known() -> None:
+    """Guards against a retry under another id, which could apply twice."""
     statuses = [0, 503, 200, 200]
     sent: list[bytes] = []
 
     class Lossy:
         def call(self, method: str, path: str, content: bytes) -> Response:
-            """Lose the first answers."""
+            """Return the prepared statuses; 0 is a lost response."""
             sent.append(content)
             return Response(statuses.pop(0), b'{}')
 
@@ -169,7 +169,7 @@
 def test_job_commands(
     capsys: pytest.CaptureFixture[str], tmp_path: Path
 ) -> None:
-    """Guards against jobs that callers can't follow from the command line."""
+    """Guards against jobs that the command line can't submit or monitor."""
     items = [
         {
             'custom_id': f'item-{number}',
@@ -220,7 +220,7 @@
 def test_history_of_a_request_from_all_processes(
     capsys: pytest.CaptureFixture[str], tmp_path: Path
 ) -> None:
-    """Guards against a history that lacks the endpoint's side."""
+    """Guards against a history without the events of the endpoint."""
 
     async def scenario(fleet: Fleet, flags: dict[str, str]) -> None:
         answer = await fleet.complete('hello')
@@ -266,14 +266,14 @@
     )
 )
 def test_log_lines_are_read_back(fields: dict[str, str]) -> None:
-    """Guards against fields that are cut or split when logs are merged."""
+    """Guards against truncated or split fields when logs are parsed."""
     stamp = Stamp(5, 2, 'e1')
     message = {'message_type': 'x', 'stamp': stamp, 'process': 'e1', **fields}
     assert parse_line(render_line(message)) == Event(stamp, 'x', fields)
 
 
 def test_files_are_merged_in_stamp_order(tmp_path: Path) -> None:
-    """Guards against lost, doubled or misplaced events."""
+    """Guards against lost, duplicated or misordered events."""
     stamps = [Stamp(number, 0, name) for number in (3, 1, 2) for name in 'ab']
     lines = [
         render_line({'message_type': 'x', 'stamp': stamp, 'id': 'r1'})
@@ -288,7 +288,7 @@
 
 
 def test_every_event_has_a_sentence() -> None:
-    """Guards against a history that can't be told when a field is missing."""
+    """Guards against a failing explanation when a field is missing."""
     stamp = Stamp(1_700_000_000_000, 0, 'entry-1')
     events = [Event(stamp, name, {}) for name in (*SENTENCES, 'peer_lost')]
     lines = explain('r1', events).splitlines()
@@ -308,7 +308,7 @@
     ],
 )
 def test_sentences_say_whether_work_ran(ran: str, expected: str) -> None:
-    """Guards against a caller who is told that a booking did not run."""
+    """Guards against stating that a booking did not run when it may have."""
     fields = {'ran': ran, 'endpoint': 'engine-1', 'attempt': '1'}
     event = Event(Stamp(1, 0, 'entry-1'), 'attempt_failed', fields)
     assert expected in explain('r1', [event])
@@ -351,7 +351,7 @@
 def test_check_settings_reports_every_finding(
     arguments: list[str], environ: dict[str, str], places: list[str]
 ) -> None:
-    """Guards against mistakes that show one after the other."""
+    """Guards against reporting only the first of several errors."""
     findings = check(arguments, environ).findings
     assert sorted(one.place for one in findings) == places
 
@@ -359,7 +359,7 @@
 def test_check_settings_exits_with_two(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Guards against a start script that goes on after findings."""
+    """Guards against a start script that continues with invalid settings."""
     monkeypatch.setattr('sys.argv', ['quetzaldyke', 'check-settings', 'entry'])
     with pytest.raises(SystemExit) as stopped:
         check_settings('entry')
--- a/tests/test_process_fleet.py
+++ b/tests/test_process_fleet.py
@@ -1,4 +1,4 @@
-"""What the bench tells of its processes and of short windows."""
+"""Tests how the benchmark reports failed processes and short windows."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 FAILING: Final = 'import sys; sys.exit("no such setting")'
 
 
-def test_children_find_the_package_without_our_working_folder() -> None:
-    """Guards against a one-file executable whose children don't start."""
+def test_children_import_the_package_from_any_working_directory() -> None:
+    """Guards against children of a one-file executable that can't start."""
     found = subprocess.run(
         [sys.executable, '-c', 'import quetzaldyke, shiv_marker'],
         env=child_environment(),
@@ -36,12 +36,12 @@
         text=True,
         check=False,
     )
-    # Only the module that does not exist is missing.
+    # quetzaldyke was imported; only the nonexistent module fails.
     assert "No module named 'shiv_marker'" in found.stderr
 
 
-async def test_child_that_ends_is_reported_with_its_errors() -> None:
-    """Guards against a bare timeout that hides why a process ended."""
+async def test_exited_child_is_reported_with_its_errors() -> None:
+    """Guards against a timeout that hides why a process exited."""
     with tempfile.TemporaryFile() as errors:
         process = await anyio.open_process(
             [sys.executable, '-c', FAILING],
@@ -55,23 +55,23 @@
 
 
 async def test_running_children_are_not_reported() -> None:
-    """Guards against a timeout that blames processes that run."""
+    """Guards against reporting running processes as exited."""
     raise_if_exited(ProcessFleet(FleetPlan('x', (), 0, (), {})))
 
 
 @pytest.mark.parametrize(
-    ('window_s', 'whole'),
+    ('window_s', 'batch_expected'),
     [(BATCH_WINDOW_S, True), (BATCH_WINDOW_S / 2, False)],
 )
-def test_short_window_tells_nothing_of_batch(
+def test_short_window_omits_batch_figures(
     window_s: float,
-    whole: bool,
+    batch_expected: bool,
 ) -> None:
-    """Guards against figures of batch from a window without whole items."""
+    """Guards against batch figures from a window shorter than an item."""
     found = {mode: Figures(mode) for mode in MODES}
     names = compare(found, window_s)
-    assert ('idle_use' in names) is whole
-    assert ('throughput_ratio' in names) is whole
+    assert ('idle_use' in names) is batch_expected
+    assert ('throughput_ratio' in names) is batch_expected
     assert 'harm_ratio' in names
-    lines = found['lending'].lines(batch=whole)
-    assert any('idle_use' in line for line in lines) is whole
+    lines = found['lending'].lines(batch=batch_expected)
+    assert any('idle_use' in line for line in lines) is batch_expected
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Tests of the daemons as operating-system processes."""
+"""Tests the daemons as operating-system processes."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 @pytest.fixture(autouse=True)
 def import_path(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let the processes import the package of this tree."""
+    """Make the processes import the package from this source tree."""
     source = Path(__file__).parent.parent / 'src'
     monkeypatch.setenv('PYTHONPATH', str(source))
 
 
 async def busy_sidecar(fleet: ProcessFleet) -> str:
-    """Return the sidecar whose engine runs a stream."""
+    """Wait for an engine that runs a stream and return its sidecar."""
     while True:
         for member in fleet.with_role('engine'):
             control = fleet.control(member.name)
@@ -46,7 +46,10 @@
 
 
 async def chat_while(sent: signal.Signals) -> tuple[ChatOutcome, int | None]:
-    """Signal the sidecar that runs a request, and return what came of it."""
+    """Signal the sidecar that runs a request.
+
+    Returns the outcome of the request and the exit status of the sidecar.
+    """
     async with AsyncExitStack() as stack:
         fleet = await start_fleet(stack, PLAN)
         outcomes: list[ChatOutcome] = []
@@ -70,11 +73,11 @@
     ('sent', 'status'),
     [(signal.SIGKILL, -signal.SIGKILL), (signal.SIGTERM, 0)],
 )
-def test_answer_is_whole_when_a_sidecar_goes(
+def test_answer_is_complete_when_a_sidecar_exits(
     sent: signal.Signals,
     status: int,
 ) -> None:
-    """Guards against a cut answer at a killed or stopped sidecar."""
+    """Guards against a truncated answer when a sidecar is killed or stops."""
     outcome, returned = anyio.run(chat_while, sent)
     assert outcome.error == ''
     assert outcome.whole
@@ -82,8 +85,8 @@
     assert returned == status
 
 
-def test_daemons_start_no_process_and_stop_as_planned() -> None:
-    """Guards against child processes and against a stop that hangs."""
+def test_daemons_start_no_process_and_shut_down_gracefully() -> None:
+    """Guards against child processes and against a shutdown that hangs."""
 
     async def scenario() -> dict[str, tuple[str, int]]:
         async with AsyncExitStack() as stack:
