--- a/src/quetzaldyke/commands/arrivals.py
+++ b/src/quetzaldyke/commands/arrivals.py
@@ -46,7 +46,7 @@
 
     def in_burst(self, at_s: float) -> bool:
         """Return whether a time of the run is in a burst."""
-        return any(one.start_s <= at_s < one.end_s for one in self.bursts)
+        return any(burst.start_s <= at_s < burst.end_s for burst in self.bursts)
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/quetzaldyke/commands/bench.py
+++ b/src/quetzaldyke/commands/bench.py
@@ -204,7 +204,7 @@
         await read_counts(run.fleet, member.name)
         for member in run.fleet.with_role('engine')
     ]
-    finished = sum(int(one['finished']) for one in counts)
+    finished = sum(int(engine['finished']) for engine in counts)
     return max(0, finished - run.figures.online_answered)
 
 
@@ -294,7 +294,7 @@
     """Return the mean CPU time of a process by role, and of this driver."""
     roles = {member.role for member in fleet.members.values()}
     used = {
-        role: fmean([one.cpu_s() for one in fleet.with_role(role)])
+        role: fmean([member.cpu_s() for member in fleet.with_role(role)])
         for role in roles
     }
     return used | {'driver': time.process_time()}
@@ -374,7 +374,9 @@
     for name, figure in comparison.items():
         print(f'figure={name} value={figure:.4g} seed={seed} fault={fault}')
     if json_file:
-        document = {name: one.rows() for name, one in figures_by_mode.items()}
+        document = {
+            name: figures.rows() for name, figures in figures_by_mode.items()
+        }
         content = {
             'seed': seed,
             'fault': fault,
--- a/src/quetzaldyke/commands/capacity.py
+++ b/src/quetzaldyke/commands/capacity.py
@@ -82,8 +82,13 @@
 async def measure_all() -> list[Slope]:
     """Run all measurements in sequence and print each fit."""
     slopes_found: list[Slope] = []
-    for one in MEASUREMENTS:
-        slopes = await measure(one.units, one.probe, one.sizes, one.runs)
+    for measurement in MEASUREMENTS:
+        slopes = await measure(
+            measurement.units,
+            measurement.probe,
+            measurement.sizes,
+            measurement.runs,
+        )
         print('\n'.join(slope.line() for slope in slopes), flush=True)
         slopes_found.extend(slopes)
     return slopes_found
--- a/src/quetzaldyke/commands/probes_fleet.py
+++ b/src/quetzaldyke/commands/probes_fleet.py
@@ -89,13 +89,13 @@
     It also returns the fleet's key-value calls per second.
     """
     members = fleet.with_role(role)
-    before = sum(one.cpu_s() for one in members)
+    before = sum(member.cpu_s() for member in members)
     calls_before = await count_store_calls(fleet)
     await anyio.sleep(IDLE_S)
-    used_s = sum(one.cpu_s() for one in members) - before
+    used_s = sum(member.cpu_s() for member in members) - before
     return {
         f'{role}_idle': used_s / len(members) / IDLE_S * 100,
-        f'{role}_memory': fmean([one.memory_mb() for one in members]),
+        f'{role}_memory': fmean([member.memory_mb() for member in members]),
         'store_calls': (await count_store_calls(fleet) - calls_before) / IDLE_S,
     }
 
--- a/src/quetzaldyke/commands/process_fleet.py
+++ b/src/quetzaldyke/commands/process_fleet.py
@@ -103,7 +103,7 @@
 
     def with_role(self, role: str) -> list[Member]:
         """Return the processes of a role."""
-        return [one for one in self.members.values() if one.role == role]
+        return [each for each in self.members.values() if each.role == role]
 
 
 def free_port() -> int:
@@ -375,8 +375,8 @@
     while True:
         content: Any = await repeat_until_ok(operator, 'GET', '/fleet', None)
         usable = sum(
-            bool(one.get('report', {}) and one['report'].get('endpoint_up'))
-            for one in content.get('instances', ())
+            bool(row.get('report', {}) and row['report'].get('endpoint_up'))
+            for row in content.get('instances', ())
         )
         if usable >= sidecars:
             return
--- a/src/quetzaldyke/commands/slopes.py
+++ b/src/quetzaldyke/commands/slopes.py
@@ -67,7 +67,7 @@
     for size in sizes:
         results = [await probe(size) for _ in range(runs)]
         for name in units:
-            costs_by_name[name].append([one[name] for one in results])
+            costs_by_name[name].append([costs[name] for costs in results])
     return [
         fit_slope(name, unit, sizes, costs_by_name[name])
         for name, unit in units.items()
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -73,7 +73,7 @@
     ('sent', 'status'),
     [(signal.SIGKILL, -signal.SIGKILL), (signal.SIGTERM, 0)],
 )
-def test_answer_is_complete_when_a_sidecar_exits(
+def test_answer_is_whole_when_a_sidecar_goes(
     sent: signal.Signals,
     status: int,
 ) -> None:
