--- a/src/quetzaldyke/commands/caller.py
+++ b/src/quetzaldyke/commands/caller.py
@@ -12,8 +12,12 @@
 import httpcore
 import orjson
 
-from quetzaldyke.connection.engine_client import EventReader, Progress, absorb
-from quetzaldyke.connection.engine_client import Piece as TextPart
+from quetzaldyke.connection.engine_client import (
+    EventReader,
+    StreamState,
+    TextDelta,
+    apply_event,
+)
 
 OK_STATUS: Final = 200
 MS_IN_S: Final = 1000
@@ -149,27 +153,27 @@
     if response.status != OK_STATUS:
         outcome.error = (await response.aread()).decode('utf-8', 'replace')
         return
-    progress = Progress()
+    state = StreamState()
     reader = EventReader()
     previous_s = 0.0
     async for data in response.aiter_stream():
-        part = TextPart()
+        delta = TextDelta()
         for text in reader.feed(data):
-            absorb(text, part, progress)
-        if not part.text:
+            apply_event(text, delta, state)
+        if not delta.text:
             continue
         now_s = time.monotonic()
         if outcome.tokens:
             outcome.token_gaps_s.append(
-                (now_s - previous_s) / max(1, part.tokens)
+                (now_s - previous_s) / max(1, delta.tokens)
             )
         else:
             outcome.ttft_s = now_s - started_s
         previous_s = now_s
-        outcome.text += part.text
-        outcome.tokens += part.tokens
-    outcome.whole = progress.whole and not progress.error
-    outcome.error = progress.error
+        outcome.text += delta.text
+        outcome.tokens += delta.tokens
+    outcome.whole = state.complete and not state.error
+    outcome.error = state.error
 
 
 def new_key() -> str:
