--- a/src/quetzaldyke/commands/bench.py
+++ b/src/quetzaldyke/commands/bench.py
@@ -121,7 +121,7 @@
         figures.notes.append(outcome.error[:160])
         return
     expected = answer_text(arrival.prompt, arrival.max_tokens)
-    if not outcome.whole or outcome.text != expected:
+    if not outcome.complete or outcome.text != expected:
         figures.online_broken += 1
         figures.notes.append(
             f'incomplete or wrong answer: {outcome.error}'[:160]
@@ -172,7 +172,7 @@
             pool = run.fleet.plan.pools[0].name
             outcome = await caller.chat(pool, prompt, ITEM_TOKENS)
             sent += 1
-            if not outcome.whole:
+            if not outcome.complete:
                 run.figures.notes.append(outcome.error[:160])
 
     async with anyio.create_task_group() as group:
--- a/src/quetzaldyke/commands/caller.py
+++ b/src/quetzaldyke/commands/caller.py
@@ -49,13 +49,13 @@
 class ChatOutcome:
     """Result of one streamed chat completion, as the client saw it.
 
-    `whole` is set if the stream ended with its end mark and no error.
+    `complete` is set if the stream ended with its end mark and no error.
     """
 
     status: int = 0
     text: str = ''
     tokens: int = 0
-    whole: bool = False
+    complete: bool = False
     error: str = ''
     ttft_s: float = 0.0
     token_gaps_s: list[float] = field(default_factory=list)
@@ -172,7 +172,7 @@
         previous_s = now_s
         outcome.text += delta.text
         outcome.tokens += delta.tokens
-    outcome.whole = state.complete and not state.error
+    outcome.complete = state.complete and not state.error
     outcome.error = state.error
 
 
--- a/src/quetzaldyke/commands/demo.py
+++ b/src/quetzaldyke/commands/demo.py
@@ -73,7 +73,7 @@
         outcome = await caller.chat(model, prompt, TOKENS)
         await caller.pool.aclose()
         totals.accepted += 1
-        if outcome.whole and outcome.text == answer_text(prompt, TOKENS):
+        if outcome.complete and outcome.text == answer_text(prompt, TOKENS):
             totals.answered += 1
         else:
             totals.lost += 1
--- a/src/quetzaldyke/commands/probes_fleet.py
+++ b/src/quetzaldyke/commands/probes_fleet.py
@@ -60,7 +60,7 @@
             outcome = await caller.chat(
                 POOL, f'{number} {request_number}', tokens
             )
-            if not outcome.whole:
+            if not outcome.complete:
                 raise RuntimeError(f'incomplete answer: {outcome.error}')
         await caller.pool.aclose()
 
--- a/src/quetzaldyke/commands/task_fleet.py
+++ b/src/quetzaldyke/commands/task_fleet.py
@@ -1,4 +1,4 @@
-"""Runs a whole fleet as tasks of one process, on loopback, for the demo.
+"""Runs a complete fleet as tasks of one process, on loopback, for the demo.
 
 Roles and stand-ins run the same functions as separate processes would and
 communicate over real sockets. The plans are also used by `process_fleet`.
--- a/tests/fault_scenarios.py
+++ b/tests/fault_scenarios.py
@@ -301,7 +301,7 @@
         expected = answer_text(prompt, TOKENS)
         if outcome is None or outcome.status != 200:
             continue
-        if outcome.whole and outcome.text != expected:
+        if outcome.complete and outcome.text != expected:
             problems.append(f'wrong answer to {prompt!r}')
         if not expected.startswith(outcome.text):
             problems.append(f'text of another request for {prompt!r}')
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -80,7 +80,7 @@
     """Guards against a truncated answer when a sidecar is killed or stops."""
     outcome, returned = anyio.run(chat_while, sent)
     assert outcome.error == ''
-    assert outcome.whole
+    assert outcome.complete
     assert outcome.text == answer_text(PROMPT, TOKENS)
     assert returned == status
 
