--- a/src/quetzaldyke/commands/bench_faults.py
+++ b/src/quetzaldyke/commands/bench_faults.py
@@ -1,4 +1,4 @@
-"""Faults that the bench injects while its load runs."""
+"""Fault scenarios that the benchmark injects under load."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from quetzaldyke.commands.bench_modes import ONLINE_POOL, ORGANISATION
 from quetzaldyke.commands.process_fleet import ProcessFleet
 
-Faults = Callable[[ProcessFleet, float], Coroutine[Any, Any, None]]
+FaultScenario = Callable[[ProcessFleet, float], Coroutine[Any, Any, None]]
 
-THIRD: Final = 1 / 3
+THIRD_OF_WINDOW: Final = 1 / 3
 SLOW_FACTOR: Final = 4.0
 CRASH_TOKENS: Final = 8
 
@@ -23,46 +23,46 @@
     name: str,
     **switches: object,
 ) -> None:
-    """Switch faults of a stand-in."""
+    """Set fault switches of a stand-in."""
     control = fleet.control(name)
     await control.request('PUT', '/faults', switches)
     await control.pool.aclose()
 
 
 async def endpoint_killed(fleet: ProcessFleet, window_s: float) -> None:
-    """Kill an engine and its sidecar after a third."""
-    await anyio.sleep(window_s * THIRD)
+    """Kill an engine and its sidecar after a third of the window."""
+    await anyio.sleep(window_s * THIRD_OF_WINDOW)
     for name in (f'engine-{ONLINE_POOL}-0', f'{ONLINE_POOL}-0'):
         fleet.members[name].process.kill()
 
 
 async def endpoint_slow(fleet: ProcessFleet, window_s: float) -> None:
-    """Slow an engine down in the middle third."""
+    """Slow an engine down in the middle third of the window."""
     name = f'engine-{ONLINE_POOL}-1'
-    await anyio.sleep(window_s * THIRD)
+    await anyio.sleep(window_s * THIRD_OF_WINDOW)
     await set_fault(fleet, name, slow_factor=SLOW_FACTOR)
-    await anyio.sleep(window_s * THIRD)
+    await anyio.sleep(window_s * THIRD_OF_WINDOW)
     await set_fault(fleet, name, slow_factor=1.0)
 
 
 async def list_stale(fleet: ProcessFleet, window_s: float) -> None:
-    """Freeze the instance list, and stop an endpoint as planned."""
+    """Freeze the instance list, then gracefully stop a sidecar."""
     await set_fault(fleet, 'instances', frozen=True)
-    await anyio.sleep(window_s * THIRD)
+    await anyio.sleep(window_s * THIRD_OF_WINDOW)
     fleet.members[f'{ONLINE_POOL}-2'].process.terminate()
 
 
 async def store_down(fleet: ProcessFleet, window_s: float) -> None:
-    """Take the key-value service away for the middle third."""
-    await anyio.sleep(window_s * THIRD)
+    """Drop all key-value calls in the middle third of the window."""
+    await anyio.sleep(window_s * THIRD_OF_WINDOW)
     await set_fault(fleet, 'kv', drop_ratio=1.0)
-    await anyio.sleep(window_s * THIRD)
+    await anyio.sleep(window_s * THIRD_OF_WINDOW)
     await set_fault(fleet, 'kv', drop_ratio=0.0)
 
 
 async def crashing_request(fleet: ProcessFleet, window_s: float) -> None:
-    """Send a request that crashes its endpoint, again and again."""
-    await anyio.sleep(window_s * THIRD)
+    """Repeatedly send a request that crashes its endpoint."""
+    await anyio.sleep(window_s * THIRD_OF_WINDOW)
     for number in range(6):
         caller = fleet.caller(ORGANISATION, number)
         await caller.chat(ONLINE_POOL, 'CRASH now', CRASH_TOKENS)
@@ -70,14 +70,14 @@
 
 
 async def domain_lost(fleet: ProcessFleet, window_s: float) -> None:
-    """Kill everything in one failure domain but the entries."""
-    await anyio.sleep(window_s * THIRD)
+    """Kill the endpoints and sidecars of one failure domain."""
+    await anyio.sleep(window_s * THIRD_OF_WINDOW)
     for member in fleet.members.values():
         if member.failure_domain == 'a':
             member.process.kill()
 
 
-FAULTS: Final[Mapping[str, Faults | None]] = MappingProxyType(
+FAULT_SCENARIOS: Final[Mapping[str, FaultScenario | None]] = MappingProxyType(
     {
         'none': None,
         'endpoint_killed': endpoint_killed,
--- a/src/quetzaldyke/commands/check_settings.py
+++ b/src/quetzaldyke/commands/check_settings.py
@@ -1,4 +1,4 @@
-"""Checks a role's settings and reports every finding at once."""
+"""Validates a role's settings and reports all errors at once."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
     variable_of,
 )
 
-FINDINGS_STATUS: Final = 2
+EXIT_INVALID_SETTINGS: Final = 2
 ROLES: Final[dict[str, type[ProcessSettings]]] = {
     'entry': EntrySettings,
     'sidecar': SidecarSettings,
 }
-# Variables of the commands, which are no settings of a role.
+# Environment variables that commands read and that are not role settings.
 COMMAND_VARIABLES: Final = frozenset((variable_of('caller_key'),))
 
 
-def findings_for(
+def check_role(
     role: str,
     flags: Mapping[str, object],
     environ: Mapping[str, str],
 ) -> Errors:
-    """Return every mistake in a role's settings.
+    """Return all errors in a role's settings.
 
-    A variable that no role knows is one too, because a misspelt variable
-    would otherwise silently leave the default in force.
+    An environment variable that no role knows is an error, because a
+    misspelt variable would otherwise silently leave the default in effect.
     """
     errors = Errors()
     if role not in ROLES:
@@ -46,7 +46,7 @@
     loaded = load_settings(ROLES[role], flags, environ)
     if isinstance(loaded, Err):
         errors.findings.extend(loaded.err_value.findings)
-    known = {
+    known_variables = {
         variable_of(name)
         for model in ROLES.values()
         for name in model.model_fields
@@ -54,25 +54,28 @@
     for variable in sorted(environ):
         if not variable.startswith(ENV_PREFIX):
             continue
-        if variable not in known and variable not in COMMAND_VARIABLES:
-            errors.add(variable, 'is not known')
+        if (
+            variable not in known_variables
+            and variable not in COMMAND_VARIABLES
+        ):
+            errors.add(variable, 'is not a known setting')
     return errors
 
 
 def check(arguments: Sequence[str], environ: Mapping[str, str]) -> Errors:
-    """Check a command line: the role, then its flags."""
+    """Validate a command line that consists of a role and its flags."""
     role, *flags = arguments or ['']
-    return findings_for(role, parse_flags(flags), environ)
+    return check_role(role, parse_flags(flags), environ)
 
 
 def check_settings(*_arguments: str, **_flags: object) -> None:
-    """Print every finding with its flag and variable; exit with 2 on any.
+    """Print all errors with their flag and variable; exit with 2 on any.
 
-    Reads the process's own arguments, because the command-line library
-    turns texts that look like numbers into numbers.
+    Reads sys.argv, because fire converts strings that look like numbers to
+    numbers.
     """
     errors = check(sys.argv[2:], os.environ)
     if errors.found:
         sys.stderr.write(f'{errors.render()}\n')
-        sys.exit(FINDINGS_STATUS)
+        sys.exit(EXIT_INVALID_SETTINGS)
     print('ok')
--- a/src/quetzaldyke/commands/deployments.py
+++ b/src/quetzaldyke/commands/deployments.py
@@ -1,4 +1,4 @@
-"""Deployments of the demo, read from settings files beside this module."""
+"""Loads the demo's deployments from JSON files next to this module."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 from pydantic import BaseModel, ConfigDict
 
-from quetzaldyke.commands.rig import FleetPlan, PoolPlan
+from quetzaldyke.commands.task_fleet import FleetPlan, PoolPlan
 
 DEPLOYMENTS: Final = ('barf-hub', 'kymata')
 
 
-class PoolFile(BaseModel):
-    """A pool in a settings file."""
+class PoolSettings(BaseModel):
+    """A pool in a deployment file."""
 
     model_config = ConfigDict(extra='forbid')
 
@@ -22,30 +22,30 @@
     kind: Literal['engine', 'service'] = 'engine'
 
 
-class DeploymentFile(BaseModel):
-    """A settings file."""
+class DeploymentSettings(BaseModel):
+    """Contents of a deployment file."""
 
     model_config = ConfigDict(extra='forbid')
 
     name: str
     failure_domains: tuple[str, ...]
     entries: int
-    pools: tuple[PoolFile, ...]
+    pools: tuple[PoolSettings, ...]
     organisations: dict[str, str]
 
 
 def load_deployment(name: str) -> FleetPlan:
-    """Read and check the settings file of a deployment."""
+    """Load a deployment; raise ValidationError if its file is not valid."""
     folder = resources.files('quetzaldyke.commands')
     text = folder.joinpath(f'{name}.json').read_text()
-    given = DeploymentFile.model_validate_json(text)
+    settings = DeploymentSettings.model_validate_json(text)
     pools = tuple(
-        PoolPlan(pool.name, pool.replicas, pool.kind) for pool in given.pools
+        PoolPlan(pool.name, pool.replicas, pool.kind) for pool in settings.pools
     )
     return FleetPlan(
-        given.name,
-        given.failure_domains,
-        given.entries,
+        settings.name,
+        settings.failure_domains,
+        settings.entries,
         pools,
-        given.organisations,
+        settings.organisations,
     )
--- a/src/quetzaldyke/commands/job.py
+++ b/src/quetzaldyke/commands/job.py
@@ -1,4 +1,4 @@
-"""Submits and follows batch jobs through an entry."""
+"""Commands that submit, monitor and cancel batch jobs through an entry."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from typing import Any, Final
 
 from quetzaldyke.commands.http_client import (
-    Answer,
+    Response,
     Client,
     callers_client,
-    exit_unless_ok,
-    finish,
+    exit_on_error,
+    print_response,
 )
 
-MAX_SENDS: Final = 5
+MAX_ATTEMPTS: Final = 5
 BOUNDARY_PREFIX: Final = 'quetzaldyke-'
 
 
@@ -29,15 +29,15 @@
     callers_address: str = '',
     caller_key: str = '',
 ) -> None:
-    """Upload a file of items, one JSON object a line, and create its job.
+    """Upload a JSON Lines file of items and create a job for it.
 
     `deadline` is a local time such as 2026-03-01T19:30 in the IANA `zone`.
-    Sending the same job again gives the first job.
+    Submitting the same job again returns the existing job.
     """
     client = callers_client(callers_address, caller_key)
     uploaded = upload(client, Path(file))
     if not uploaded.ok:
-        finish(uploaded)
+        print_response(uploaded)
     body: dict[str, Any] = {
         'input_file_id': uploaded.document()['id'],
         'endpoint': endpoint,
@@ -46,21 +46,21 @@
         body['deadline'] = {'local': deadline, 'zone': zone}
     headers = {'idempotency-key': str(idempotency_key or uuid.uuid4())}
     sys.stderr.write(f'idempotency key {headers["idempotency-key"]}\n')
-    answer = Answer(0, b'')
-    for _ in range(MAX_SENDS):
-        answer = client.call(
+    response = Response(0, b'')
+    for _ in range(MAX_ATTEMPTS):
+        response = client.call(
             'POST',
             '/v1/batches',
             json.dumps(body).encode(),
             headers,
         )
-        if answer.status:
+        if response.status:
             break
-    finish(answer)
+    print_response(response)
 
 
-def upload(client: Client, path: Path) -> Answer:
-    """Upload a file as a multipart form."""
+def upload(client: Client, path: Path) -> Response:
+    """Upload a batch input file as a multipart form."""
     boundary = f'{BOUNDARY_PREFIX}{uuid.uuid4().hex}'
     name = path.name.replace('"', '_')
     parts = (
@@ -71,8 +71,10 @@
     )
     content = parts.encode() + path.read_bytes()
     content += f'\r\n--{boundary}--\r\n'.encode()
-    kind = f'multipart/form-data; boundary={boundary}'
-    return client.call('POST', '/v1/files', content, {'content-type': kind})
+    content_type = f'multipart/form-data; boundary={boundary}'
+    return client.call(
+        'POST', '/v1/files', content, {'content-type': content_type}
+    )
 
 
 def status(
@@ -80,9 +82,13 @@
     callers_address: str = '',
     caller_key: str = '',
 ) -> None:
-    """Print how a job stands, with its estimate and risk."""
+    """Print a job's status.
+
+    It includes the estimated completion time and whether the deadline is at
+    risk.
+    """
     client = callers_client(callers_address, caller_key)
-    finish(client.call('GET', f'/v1/batches/{job_id}'))
+    print_response(client.call('GET', f'/v1/batches/{job_id}'))
 
 
 def cancel(
@@ -90,9 +96,9 @@
     callers_address: str = '',
     caller_key: str = '',
 ) -> None:
-    """Cancel a job."""
+    """Cancel a job and print its status."""
     client = callers_client(callers_address, caller_key)
-    finish(client.call('POST', f'/v1/batches/{job_id}/cancel'))
+    print_response(client.call('POST', f'/v1/batches/{job_id}/cancel'))
 
 
 def results(
@@ -101,18 +107,18 @@
     callers_address: str = '',
     caller_key: str = '',
 ) -> None:
-    """Print the recorded results, or the items that failed, as lines."""
+    """Print the recorded results, or with `errors` the failed items."""
     client = callers_client(callers_address, caller_key)
     job = client.call('GET', f'/v1/batches/{job_id}')
     if not job.ok:
-        finish(job)
-    which = 'error_file_id' if errors else 'output_file_id'
-    file_id = job.document().get(which)
+        print_response(job)
+    file_field = 'error_file_id' if errors else 'output_file_id'
+    file_id = job.document().get(file_field)
     if not file_id:
         return
-    answer = client.call('GET', f'/v1/files/{file_id}/content')
-    sys.stdout.write(answer.content.decode())
-    exit_unless_ok(answer)
+    response = client.call('GET', f'/v1/files/{file_id}/content')
+    sys.stdout.write(response.content.decode())
+    exit_on_error(response)
 
 
 JOB_COMMANDS: Final = {
--- a/src/quetzaldyke/commands/process_fleet.py
+++ b/src/quetzaldyke/commands/process_fleet.py
@@ -1,7 +1,7 @@
-"""A fleet of real processes on loopback, for the bench.
+"""Runs a fleet of real processes on loopback, for benchmarks and tests.
 
-The bench is a tool of the developers: the daemons themselves start no
-process. Every role runs as operators run it, from flags and variables.
+Roles are started as in production, with flags and environment variables.
+Only this development tool starts processes; the daemons never do.
 """
 
 from __future__ import annotations
@@ -22,26 +22,27 @@
 from anyio.abc import Process
 
 from quetzaldyke.commands.caller import Caller
-from quetzaldyke.commands.rig import (
+from quetzaldyke.commands.task_fleet import (
     FLEET_SECRET,
     OPERATOR_KEY,
     FleetPlan,
     PoolPlan,
-    document_of,
+    setup_patch,
 )
 
 HOST: Final = '127.0.0.1'
-START_LIMIT_S: Final = 30.0
-STOP_LIMIT_S: Final = 8.0
-POLL_S: Final = 0.05
+START_TIMEOUT_S: Final = 30.0
+STOP_TIMEOUT_S: Final = 8.0
+POLL_INTERVAL_S: Final = 0.05
 OK_STATUS: Final = 200
-# The last characters of a child's standard error that a report shows.
-ERROR_CHARS: Final = 2_000
-# Each process starts at another place, so that two runs seldom meet.
-PORTS: Final = iter(range(10_000 + os.getpid() * 37 % 15_000, 32_000))
-CLOCK_TICKS: Final = os.sysconf('SC_CLK_TCK')
-# utime and stime count from the end of the command's name in stat.
-UTIME_FIELD: Final = 11
+# Length of the tail of standard error that an exit report includes.
+MAX_ERROR_CHARS: Final = 2_000
+# The start depends on the process id, so that concurrent runs seldom collide.
+CANDIDATE_PORTS: Final = iter(range(10_000 + os.getpid() * 37 % 15_000, 32_000))
+CLOCK_TICKS_PER_S: Final = os.sysconf('SC_CLK_TCK')
+# Index of utime in /proc/PID/stat, counted after the command name; stime
+# follows it.
+UTIME_INDEX: Final = 11
 
 
 @dataclass(slots=True)
@@ -52,23 +53,23 @@
     role: str
     address: str
     process: Process
-    # What it writes to standard error.
+    # Captures standard error.
     errors: IO[bytes]
     pool: str = ''
     failure_domain: str = ''
 
     def cpu_s(self) -> float:
-        """Return the processor time that the process has used."""
+        """Return the CPU time that the process has used; 0 if it is gone."""
         try:
             text = Path(f'/proc/{self.process.pid}/stat').read_text()
         except OSError:
             return 0.0
         fields = text.rpartition(')')[2].split()
-        ticks = int(fields[UTIME_FIELD]) + int(fields[UTIME_FIELD + 1])
-        return ticks / CLOCK_TICKS
+        ticks = int(fields[UTIME_INDEX]) + int(fields[UTIME_INDEX + 1])
+        return ticks / CLOCK_TICKS_PER_S
 
     def memory_mb(self) -> float:
-        """Return the resident memory of the process."""
+        """Return the resident memory of the process; 0 if it is gone."""
         try:
             text = Path(f'/proc/{self.process.pid}/statm').read_text()
         except OSError:
@@ -78,7 +79,7 @@
 
 @dataclass(slots=True)
 class ProcessFleet:
-    """A running fleet."""
+    """A running fleet of processes."""
 
     plan: FleetPlan
     members: dict[str, Member] = field(default_factory=dict)
@@ -87,12 +88,12 @@
     rows: dict[str, dict[str, str]] = field(default_factory=dict)
 
     def caller(self, organisation: str, number: int = 0) -> Caller:
-        """Return a caller at one of the entries."""
+        """Return a client of an entry's callers' listener."""
         address = self.callers[number % len(self.callers)]
         return Caller(address, self.plan.organisations[organisation])
 
     def operator(self, number: int = 0) -> Caller:
-        """Return an operator at one of the entries."""
+        """Return a client of an entry's operators' listener."""
         address = self.operators[number % len(self.operators)]
         return Caller(address, OPERATOR_KEY)
 
@@ -100,19 +101,19 @@
         """Return a client of a stand-in's control routes."""
         return Caller(self.members[name].address, 'none')
 
-    def named(self, role: str) -> list[Member]:
+    def with_role(self, role: str) -> list[Member]:
         """Return the processes of a role."""
-        return [one for one in self.members.values() if one.role == role]
+        return [each for each in self.members.values() if each.role == role]
 
 
 def free_port() -> int:
-    """Return a port that is free now and that no fleet here was given.
+    """Return a free port that this process has not handed out before.
 
-    The ports are below the range from which the system takes the ports of
-    outgoing connections, so that none of those can take one before the
-    process that it is meant for listens.
+    Ports are below the ephemeral range, so that an outgoing connection
+    can't occupy one before the process it is meant for listens. Raises
+    RuntimeError when no port is left.
     """
-    for port in PORTS:
+    for port in CANDIDATE_PORTS:
         with socket.socket() as probe:
             try:
                 probe.bind((HOST, port))
@@ -123,15 +124,16 @@
 
 
 def free_address() -> str:
-    """Return an address that is free now."""
+    """Return a loopback address with a free port."""
     return f'{HOST}:{free_port()}'
 
 
 def child_environment() -> dict[str, str]:
-    """Return the environment of a child of this process.
+    """Return the environment for child processes.
 
-    Its path is ours: the interpreter of a one-file executable finds the
-    packages only because the executable has put them on the path.
+    PYTHONPATH holds this process's sys.path: with a one-file executable,
+    only the executable itself puts the packages on the path, so a child's
+    interpreter would not find them.
     """
     return {
         'QUETZALDYKE_FLEET_SECRET': FLEET_SECRET,
@@ -141,18 +143,20 @@
     }
 
 
-def exit_report(member: Member) -> str:
-    """Return how a process ended, with the end of what it wrote."""
+def describe_exit(member: Member) -> str:
+    """Return the exit status and the tail of standard error."""
     member.errors.seek(0)
     text = member.errors.read().decode(errors='replace').strip()
     status = member.process.returncode
-    return f'{member.name} ended with status {status}: {text[-ERROR_CHARS:]}'
+    return (
+        f'{member.name} ended with status {status}: {text[-MAX_ERROR_CHARS:]}'
+    )
 
 
-def raise_for_exits(fleet: ProcessFleet) -> None:
-    """Raise with the errors of the processes that have ended."""
+def raise_if_exited(fleet: ProcessFleet) -> None:
+    """Raise FleetStartError with the errors of processes that exited."""
     ended = [
-        exit_report(member)
+        describe_exit(member)
         for member in fleet.members.values()
         if member.process.returncode is not None
     ]
@@ -161,7 +165,7 @@
 
 
 class FleetStartError(Exception):
-    """A process of the fleet has ended before the fleet was up."""
+    """A process of the fleet exited before the fleet was ready."""
 
 
 async def start_process(
@@ -172,14 +176,14 @@
     arguments: list[str],
     flags: Mapping[str, object],
 ) -> Member:
-    """Start one process of the fleet."""
-    given = [
+    """Start a process without waiting for it to listen."""
+    command_flags = [
         f'--{flag.replace("_", "-")}={setting}'
         for flag, setting in flags.items()
     ]
     errors = tempfile.TemporaryFile()
     process = await anyio.open_process(
-        [sys.executable, '-m', 'quetzaldyke', *arguments, *given],
+        [sys.executable, '-m', 'quetzaldyke', *arguments, *command_flags],
         stdin=DEVNULL,
         stdout=DEVNULL,
         stderr=errors,
@@ -196,7 +200,7 @@
     kind: str,
     flags: Mapping[str, object],
 ) -> Member:
-    """Start a stand-in at a free address."""
+    """Start a stand-in on a free address."""
     address = free_address()
     return await start_process(
         fleet,
@@ -209,7 +213,7 @@
 
 
 def engine_flags(pool: PoolPlan, number: int) -> dict[str, object]:
-    """Return the flags of an engine's stand-in."""
+    """Return the flags of the engine stand-in of a pool."""
     return {
         'model': pool.name,
         'seed': number,
@@ -225,7 +229,7 @@
     pool: PoolPlan,
     number: int,
 ) -> None:
-    """Start an engine and its sidecar."""
+    """Start an endpoint and its sidecar."""
     domains = fleet.plan.failure_domains
     domain = domains[number % len(domains)]
     name = f'{pool.name}-{number}'
@@ -256,17 +260,17 @@
     for member in (endpoint, sidecar):
         member.pool = pool.name
         member.failure_domain = domain
-    fleet.rows[name] = row_of(name, 'sidecar', address, domain, pool.name)
+    fleet.rows[name] = instance_row(name, 'sidecar', address, domain, pool.name)
 
 
-def row_of(
+def instance_row(
     name: str,
     role: str,
     address: str,
     domain: str,
     pool: str = '',
 ) -> dict[str, str]:
-    """Return a row of the instance list."""
+    """Return an instance's row in the instance list."""
     return {
         'instance': name,
         'role': role,
@@ -278,7 +282,7 @@
 
 
 async def start_entry(fleet: ProcessFleet, number: int) -> None:
-    """Start an entry."""
+    """Start an entry on free addresses."""
     domains = fleet.plan.failure_domains
     name = f'entry-{number}'
     callers, operators, peers = (free_address() for _ in range(3))
@@ -302,11 +306,15 @@
     )
     fleet.callers.append(callers)
     fleet.operators.append(operators)
-    fleet.rows[name] = row_of(name, 'entry', peers, domain)
+    fleet.rows[name] = instance_row(name, 'entry', peers, domain)
 
 
 async def start_fleet(stack: AsyncExitStack, plan: FleetPlan) -> ProcessFleet:
-    """Start a deployment and wait until every entry reaches its endpoints."""
+    """Start a deployment and wait until entries are connected to endpoints.
+
+    The fleet stops with `stack`. If it is not ready in time, raises
+    FleetStartError when a process has exited, else TimeoutError.
+    """
     fleet = ProcessFleet(plan)
     stack.push_async_callback(stop_fleet, fleet)
     await start_standin(fleet, 'kv', 'kv', {})
@@ -317,36 +325,38 @@
     for number in range(plan.entries):
         await start_entry(fleet, number)
     try:
-        await set_up(fleet, plan)
+        await configure(fleet, plan)
     except TimeoutError:
-        raise_for_exits(fleet)
+        raise_if_exited(fleet)
         raise
     return fleet
 
 
-async def set_up(fleet: ProcessFleet, plan: FleetPlan) -> None:
-    """Register the instances and wait until the entries are ready."""
-    with anyio.fail_after(START_LIMIT_S):
+async def configure(fleet: ProcessFleet, plan: FleetPlan) -> None:
+    """Register the instances, configure them and wait for the entries."""
+    with anyio.fail_after(START_TIMEOUT_S):
         for name, row in fleet.rows.items():
             path = f'/instances/{name}'
-            await until_ok(fleet.control('instances'), 'PUT', path, row)
+            await repeat_until_ok(fleet.control('instances'), 'PUT', path, row)
         patch = {
             'base_version': 0,
             'patch_id': f'{plan.name}-setup',
-            'patch': document_of(plan),
+            'patch': setup_patch(plan),
         }
-        await until_ok(fleet.operator(), 'POST', '/config/patches', patch)
+        await repeat_until_ok(
+            fleet.operator(), 'POST', '/config/patches', patch
+        )
         for number in range(plan.entries):
-            await until_ready(fleet, number)
+            await wait_until_ready(fleet, number)
 
 
-async def until_ok(
+async def repeat_until_ok(
     caller: Caller,
     method: str,
     path: str,
     body: object,
 ) -> object:
-    """Repeat a call until it succeeds."""
+    """Repeat a request until it succeeds and return its content."""
     while True:
         try:
             status, content = await caller.request(method, path, body)
@@ -355,31 +365,31 @@
         if status == OK_STATUS:
             await caller.pool.aclose()
             return content
-        await anyio.sleep(POLL_S)
+        await anyio.sleep(POLL_INTERVAL_S)
 
 
-async def until_ready(fleet: ProcessFleet, number: int) -> None:
-    """Wait until an entry has the configuration and every endpoint."""
+async def wait_until_ready(fleet: ProcessFleet, number: int) -> None:
+    """Wait until an entry sees every sidecar report a running endpoint."""
     operator = fleet.operator(number)
-    sidecars = len(fleet.named('sidecar'))
+    sidecars = len(fleet.with_role('sidecar'))
     while True:
-        content: Any = await until_ok(operator, 'GET', '/fleet', None)
+        content: Any = await repeat_until_ok(operator, 'GET', '/fleet', None)
         usable = sum(
-            bool(one.get('report', {}) and one['report'].get('endpoint_up'))
-            for one in content.get('instances', ())
+            bool(row.get('report', {}) and row['report'].get('endpoint_up'))
+            for row in content.get('instances', ())
         )
         if usable >= sidecars:
             return
-        await anyio.sleep(POLL_S)
+        await anyio.sleep(POLL_INTERVAL_S)
 
 
 async def stop_fleet(fleet: ProcessFleet) -> None:
-    """End every process, as planned and then by force."""
+    """Terminate every process; kill those that exceed the timeout."""
     with anyio.CancelScope(shield=True):
         for member in fleet.members.values():
             if member.process.returncode is None:
                 member.process.terminate()
-        with anyio.move_on_after(STOP_LIMIT_S):
+        with anyio.move_on_after(STOP_TIMEOUT_S):
             for member in fleet.members.values():
                 await member.process.wait()
         for member in fleet.members.values():
--- a/src/quetzaldyke/commands/slopes.py
+++ b/src/quetzaldyke/commands/slopes.py
@@ -1,4 +1,4 @@
-"""Straight-line fits of measured costs over size."""
+"""Fits straight lines to measured costs as a function of size."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
     medians: tuple[float, ...]
     per_unit: float
     base: float
-    # Largest distance of a run from its size's median, as a ratio.
+    # Largest relative deviation of a run from the median of its size.
     spread: float
 
     def at(self, size: float) -> float:
-        """Return the cost at another size."""
+        """Return the cost that the fit predicts for a size."""
         return self.base + self.per_unit * size
 
     def line(self) -> str:
-        """Return the key=value line of the fit."""
+        """Return the fit as a line of key=value pairs."""
         points = ','.join(
             f'{size}:{cost:.4g}'
             for size, cost in zip(self.sizes, self.medians, strict=True)
@@ -47,12 +47,12 @@
     """
     mean_size = fmean(sizes)
     mean_cost = fmean(costs)
-    over = sum(
+    covariance_sum = sum(
         (size - mean_size) * (cost - mean_cost)
         for size, cost in zip(sizes, costs, strict=True)
     )
-    under = sum((size - mean_size) ** 2 for size in sizes)
-    per_unit = over / under if under else 0.0
+    variance_sum = sum((size - mean_size) ** 2 for size in sizes)
+    per_unit = covariance_sum / variance_sum if variance_sum else 0.0
     return per_unit, mean_cost - per_unit * mean_size
 
 
@@ -62,18 +62,19 @@
     sizes: Sequence[int],
     runs: int,
 ) -> list[Slope]:
-    """Run a probe several times at each size and fit a line to each cost."""
-    found: dict[str, list[list[float]]] = {name: [] for name in units}
+    """Run a probe repeatedly at each size and fit a line to each cost."""
+    costs_by_name: dict[str, list[list[float]]] = {name: [] for name in units}
     for size in sizes:
         results = [await probe(size) for _ in range(runs)]
         for name in units:
-            found[name].append([one[name] for one in results])
+            costs_by_name[name].append([costs[name] for costs in results])
     return [
-        slope_of(name, unit, sizes, found[name]) for name, unit in units.items()
+        fit_slope(name, unit, sizes, costs_by_name[name])
+        for name, unit in units.items()
     ]
 
 
-def slope_of(
+def fit_slope(
     name: str,
     unit: str,
     sizes: Sequence[int],
--- a/src/quetzaldyke/commands/standin.py
+++ b/src/quetzaldyke/commands/standin.py
@@ -1,6 +1,6 @@
-"""Runs one stand-in of the platform as a process of its own.
+"""Runs one stand-in for a platform service as a separate process.
 
-Flags are the fields of the stand-in's options. SIGTERM and SIGINT stop it.
+Flags set the fields of the stand-in's options. SIGTERM and SIGINT stop it.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
 )
 from quetzaldyke.standins.service import ServiceOptions, run_service
 
-USAGE_STATUS: Final = 2
+EXIT_USAGE: Final = 2
 
 
 class Standin(Protocol):
-    """What all running stand-ins have."""
+    """Interface of a running stand-in."""
 
     @property
     def address(self) -> str:
@@ -47,25 +47,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
-    """One kind of stand-in."""
+class StandinKind:
+    """Options type and run function of one kind of stand-in."""
 
     options: type[Any]
     run: Callable[..., Coroutine[Any, Any, None]]
 
 
 KINDS: Final = {
-    'kv': Kind(KvOptions, run_kv),
-    'engine': Kind(EngineOptions, run_engine),
-    'service': Kind(ServiceOptions, run_service),
-    'instances': Kind(InstancesOptions, run_instances),
-    'platform-store': Kind(PlatformStoreOptions, run_platform_store),
-    'platform-endpoint': Kind(PlatformEndpointOptions, run_platform_endpoint),
+    'kv': StandinKind(KvOptions, run_kv),
+    'engine': StandinKind(EngineOptions, run_engine),
+    'service': StandinKind(ServiceOptions, run_service),
+    'instances': StandinKind(InstancesOptions, run_instances),
+    'platform-store': StandinKind(PlatformStoreOptions, run_platform_store),
+    'platform-endpoint': StandinKind(
+        PlatformEndpointOptions, run_platform_endpoint
+    ),
 }
 
 
 def parse_options(kind: str, flags: dict[str, object]) -> Result[Any, Errors]:
-    """Return a stand-in's options, or every finding.
+    """Build a stand-in's options from flags, or return all errors.
 
     >>> parse_options('kv', {'seed': 7}).ok_value
     KvOptions(address='127.0.0.1:0', seed=7)
@@ -79,42 +81,42 @@
         return Err(errors)
     model = KINDS[kind].options
     defaults = dataclasses.asdict(model())
-    given: dict[str, object] = {}
-    for name, setting in flags.items():
-        place = f'--{name.replace("_", "-")}'
+    parsed: dict[str, object] = {}
+    for name, raw in flags.items():
+        flag = f'--{name.replace("_", "-")}'
         if name not in defaults:
-            errors.add(place, 'is not a flag of this stand-in')
+            errors.add(flag, 'is not a flag of this stand-in')
             continue
         expected = type(defaults[name])
-        given[name] = as_type(setting, expected)
-        if given[name] is None:
-            errors.add(place, f'must be of type {expected.__name__}')
-    check_given_address(given, errors)
-    return Err(errors) if errors.found else Ok(model(**given))
+        parsed[name] = convert_flag(raw, expected)
+        if parsed[name] is None:
+            errors.add(flag, f'must be of type {expected.__name__}')
+    check_address_flag(parsed, errors)
+    return Err(errors) if errors.found else Ok(model(**parsed))
 
 
-def as_type(setting: object, expected: type) -> object:
-    """Return a flag's value in the type of its field, or None."""
-    # bool is a kind of int, but not a number here.
-    if isinstance(setting, bool) is not (expected is bool):
+def convert_flag(raw: object, expected: type) -> object:
+    """Convert a flag's value to its field's type; None if it doesn't fit."""
+    # bool is a subclass of int, but is not accepted as a number here.
+    if isinstance(raw, bool) is not (expected is bool):
         return None
-    if expected is float and isinstance(setting, int):
-        return float(setting)
-    if expected is str and isinstance(setting, int | float):
-        return str(setting)
-    return setting if isinstance(setting, expected) else None
+    if expected is float and isinstance(raw, int):
+        return float(raw)
+    if expected is str and isinstance(raw, int | float):
+        return str(raw)
+    return raw if isinstance(raw, expected) else None
 
 
-def check_given_address(given: dict[str, object], errors: Errors) -> None:
-    """Check the listener's address if one was given."""
+def check_address_flag(parsed: dict[str, object], errors: Errors) -> None:
+    """Add an error if the listen address is not valid."""
     try:
-        check_address(str(given.get('address', '127.0.0.1:0')))
+        check_address(str(parsed.get('address', '127.0.0.1:0')))
     except ValueError as exc:
         errors.add('--address', str(exc))
 
 
 async def serve_standin(kind: str, options: object) -> None:
-    """Run a stand-in until a signal; prints its address when it listens."""
+    """Run a stand-in until a signal; print its address once it listens."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as received:
         async with anyio.create_task_group() as group:
             standin: Standin = await group.start(KINDS[kind].run, options)
@@ -126,16 +128,17 @@
 
 
 def run_standin(kind: str, **flags: object) -> None:
-    """Run a stand-in: kv, engine, service, instances or of the platform.
+    """Run a stand-in for a platform service until a signal.
 
     Args:
-        kind: which stand-in.
+        kind: kv, engine, service, instances, platform-store or
+            platform-endpoint.
         flags: fields of its options, for example --address 127.0.0.1:7001.
     """
     options = parse_options(kind, flags)
     if isinstance(options, Err):
         print(options.err_value.render(), file=sys.stderr)
-        sys.exit(USAGE_STATUS)
+        sys.exit(EXIT_USAGE)
     anyio.run(
         serve_standin,
         kind,
--- a/src/quetzaldyke/commands/rig.py
+++ b/src/quetzaldyke/commands/task_fleet.py
@@ -1,7 +1,7 @@
-"""A whole fleet on loopback in one process, for the demo and the bench.
+"""Runs a complete fleet as tasks of one process, on loopback, for the demo.
 
-Every role and stand-in is the same function that its own process runs; they
-talk over real sockets.
+Roles and stand-ins run the same functions as separate processes would and
+communicate over real sockets. The plans are also used by `process_fleet`.
 """
 
 from __future__ import annotations
@@ -37,38 +37,38 @@
 ANY_PORT: Final = '127.0.0.1:0'
 FLEET_SECRET: Final = 'loopback-fleet-secret'
 OPERATOR_KEY: Final = 'loopback-operator-key'
-READY_POLL_S: Final = 0.02
+POLL_INTERVAL_S: Final = 0.02
 
 
 @dataclass(frozen=True, slots=True)
 class PoolPlan:
-    """Endpoints of one pool."""
+    """Number, kind and options of the endpoints of one pool."""
 
     name: str
     replicas: int
     kind: str = 'engine'
     engine: EngineOptions = EngineOptions()
-    # Streams that a sidecar lets the engine run; 0 takes the engine's own.
+    # Concurrent streams that a sidecar allows; 0 means the engine's limit.
     max_streams: int = 0
     max_queue: int = 256
 
 
 @dataclass(frozen=True, slots=True)
 class FleetPlan:
-    """One deployment."""
+    """Size and configuration of one deployment."""
 
     name: str
     failure_domains: tuple[str, ...]
     entries: int
     pools: tuple[PoolPlan, ...]
-    organisations: Mapping[str, str]  # name to caller's key
+    organisations: Mapping[str, str]  # name to caller key
     lending: Sequence[Mapping[str, object]] = ()
     linger_s: float = 0.2
 
 
 @dataclass(slots=True)
 class Endpoint:
-    """One endpoint with its sidecar."""
+    """A running endpoint with its sidecar."""
 
     name: str
     pool: str
@@ -79,8 +79,8 @@
 
 
 @dataclass(slots=True)
-class Rig:
-    """A running fleet."""
+class TaskFleet:
+    """A fleet that runs in this process."""
 
     plan: FleetPlan
     group: TaskGroup
@@ -90,55 +90,57 @@
     entries: dict[str, EntryProcess] = field(default_factory=dict)
     scopes: dict[str, anyio.CancelScope] = field(default_factory=dict)
 
-    def operators(self, number: int = 0) -> Caller:
-        """Return an operator at one of the entries."""
+    def operator(self, number: int = 0) -> Caller:
+        """Return a client of an entry's operators' listener."""
         entry = list(self.entries.values())[number]
         return Caller(entry.operators_address, OPERATOR_KEY)
 
     def caller(self, organisation: str, number: int = 0) -> Caller:
-        """Return a caller at one of the entries."""
+        """Return a client of an entry's callers' listener."""
         entry = list(self.entries.values())[number % len(self.entries)]
         return Caller(
             entry.callers_address,
             self.plan.organisations[organisation],
         )
 
-    def domain_of(self, number: int) -> str:
-        """Deal instances over the failure domains."""
+    def failure_domain_for(self, number: int) -> str:
+        """Assign failure domains to instances in rotation."""
         domains = self.plan.failure_domains
         return domains[number % len(domains)]
 
 
-async def start_scoped(
-    rig: Rig,
+async def start_cancellable(
+    fleet: TaskFleet,
     run: Callable[..., Any],
     settings: object,
 ) -> tuple[Any, anyio.CancelScope]:
-    """Start a role so that it can be crashed by its own scope."""
+    """Start a role; cancelling the returned scope simulates its crash."""
     scope = anyio.CancelScope()
 
     async def scoped(*, task_status: Any) -> None:
         with scope:
             await run(settings, task_status=task_status)
 
-    return await rig.group.start(scoped), scope
+    return await fleet.group.start(scoped), scope
 
 
-async def start_endpoint(rig: Rig, pool: PoolPlan, number: int) -> Endpoint:
-    """Start an endpoint and its sidecar, and list them."""
-    name = f'{rig.plan.name}-{pool.name}-{number}'
+async def start_endpoint(
+    fleet: TaskFleet, pool: PoolPlan, number: int
+) -> Endpoint:
+    """Start an endpoint and its sidecar, and register the instance."""
+    name = f'{fleet.plan.name}-{pool.name}-{number}'
     standin: EngineStandin | ServiceStandin
     if pool.kind == 'engine':
         options = replace(pool.engine, model=pool.name, seed=number)
-        standin = await rig.group.start(run_engine, options)
+        standin = await fleet.group.start(run_engine, options)
     else:
-        standin = await rig.group.start(
+        standin = await fleet.group.start(
             run_service,
             ServiceOptions(name=name),
         )
     settings = SidecarSettings(
         instance=name,
-        failure_domain=rig.domain_of(number),
+        failure_domain=fleet.failure_domain_for(number),
         peer_address=ANY_PORT,
         fleet_secret=FLEET_SECRET,
         endpoint_address=standin.address,
@@ -147,22 +149,22 @@
         max_streams=pool.max_streams or pool.engine.max_streams,
         max_queue=pool.max_queue,
     )
-    sidecar, scope = await start_scoped(rig, run_sidecar, settings)
+    sidecar, scope = await start_cancellable(fleet, run_sidecar, settings)
     endpoint = Endpoint(name, pool.name, standin, sidecar, scope, settings)
-    rig.endpoints[name] = endpoint
-    list_instance(rig, name, 'sidecar', sidecar.peer_address, settings)
+    fleet.endpoints[name] = endpoint
+    register_instance(fleet, name, 'sidecar', sidecar.peer_address, settings)
     return endpoint
 
 
-def list_instance(
-    rig: Rig,
+def register_instance(
+    fleet: TaskFleet,
     name: str,
     role: str,
     address: str,
     settings: EntrySettings | SidecarSettings,
     state: str = 'live',
 ) -> None:
-    """Put an instance into the platform's list."""
+    """Add an instance to the platform's instance list."""
     row = {
         'instance': name,
         'role': role,
@@ -171,38 +173,38 @@
         'pool': getattr(settings, 'pool', ''),
         'state': state,
     }
-    rig.instances.change(name, row)
+    fleet.instances.change(name, row)
 
 
-async def start_entry(rig: Rig, number: int) -> EntryProcess:
-    """Start one entry and list it."""
-    name = f'{rig.plan.name}-entry-{number}'
+async def start_entry(fleet: TaskFleet, number: int) -> EntryProcess:
+    """Start one entry and register it."""
+    name = f'{fleet.plan.name}-entry-{number}'
     settings = EntrySettings(
         instance=name,
-        failure_domain=rig.domain_of(number),
+        failure_domain=fleet.failure_domain_for(number),
         peer_address=ANY_PORT,
         fleet_secret=FLEET_SECRET,
         callers_address=ANY_PORT,
         operators_address=ANY_PORT,
         operator_key=OPERATOR_KEY,
-        kv_address=rig.kv.address,
-        instances_address=rig.instances.address,
-        linger_s=rig.plan.linger_s,
+        kv_address=fleet.kv.address,
+        instances_address=fleet.instances.address,
+        linger_s=fleet.plan.linger_s,
     )
 
     async def run(given: EntrySettings, *, task_status: Any) -> None:
         await run_entry(given, parts=ENTRY_PARTS, task_status=task_status)
 
     entry: EntryProcess
-    entry, scope = await start_scoped(rig, run, settings)
-    rig.entries[name] = entry
-    rig.scopes[name] = scope
-    list_instance(rig, name, 'entry', entry.peer_address, settings)
+    entry, scope = await start_cancellable(fleet, run, settings)
+    fleet.entries[name] = entry
+    fleet.scopes[name] = scope
+    register_instance(fleet, name, 'entry', entry.peer_address, settings)
     return entry
 
 
-def document_of(plan: FleetPlan) -> list[dict[str, object]]:
-    """Return the patch that sets up a deployment."""
+def setup_patch(plan: FleetPlan) -> list[dict[str, object]]:
+    """Return the JSON Patch that configures a deployment."""
     pools = {
         pool.name: {'kind': pool.kind, 'model': pool.name}
         for pool in plan.pools
@@ -222,9 +224,13 @@
     ]
 
 
-async def start_rig(group: TaskGroup, plan: FleetPlan) -> Rig:
-    """Start a deployment and wait until every entry reaches its endpoints."""
-    rig = Rig(
+async def start_fleet(group: TaskGroup, plan: FleetPlan) -> TaskFleet:
+    """Start a deployment and wait until entries are connected to endpoints.
+
+    Raises RuntimeError if the configuration is refused and TimeoutError if
+    the fleet does not become ready.
+    """
+    fleet = TaskFleet(
         plan,
         group,
         await group.start(run_kv, KvOptions()),
@@ -232,51 +238,51 @@
     )
     for pool in plan.pools:
         for number in range(pool.replicas):
-            await start_endpoint(rig, pool, number)
+            await start_endpoint(fleet, pool, number)
     for number in range(plan.entries):
-        await start_entry(rig, number)
-    status, answer = await rig.operators().request(
+        await start_entry(fleet, number)
+    status, answer = await fleet.operator().request(
         'POST',
         '/config/patches',
         {
             'base_version': 0,
             'patch_id': f'{plan.name}-setup',
-            'patch': document_of(plan),
+            'patch': setup_patch(plan),
         },
     )
     if status != 200:
-        raise RuntimeError(f'the configuration was refused: {answer!r}')
-    await wait_until(lambda: is_ready(rig))
-    return rig
+        raise RuntimeError(f'the initial configuration was refused: {answer!r}')
+    await wait_until(lambda: is_ready(fleet))
+    return fleet
 
 
-def is_ready(rig: Rig) -> bool:
-    """Tell whether each entry has the configuration and all endpoints."""
+def is_ready(fleet: TaskFleet) -> bool:
+    """Return whether all entries are configured and reach all endpoints."""
     return all(
         entry.config.version >= 1
         and sum(link.usable for link in entry.fleet.links.values())
-        == len(rig.endpoints)
-        for entry in rig.entries.values()
+        == len(fleet.endpoints)
+        for entry in fleet.entries.values()
     )
 
 
 async def wait_until(
     condition: Callable[[], bool],
-    limit_s: float = 20.0,
+    timeout_s: float = 20.0,
 ) -> None:
-    """Wait for a condition; raises TimeoutError after the limit."""
-    with anyio.fail_after(limit_s):
+    """Poll a condition until it holds; raise TimeoutError at the limit."""
+    with anyio.fail_after(timeout_s):
         while not condition():
-            await anyio.sleep(READY_POLL_S)
+            await anyio.sleep(POLL_INTERVAL_S)
 
 
-async def stop_rig(rig: Rig) -> None:
-    """Stop everything as planned, entries first."""
-    for entry in rig.entries.values():
+async def stop_fleet(fleet: TaskFleet) -> None:
+    """Start the graceful shutdown of everything, entries first."""
+    for entry in fleet.entries.values():
         entry.stopping.set()
-    for endpoint in rig.endpoints.values():
+    for endpoint in fleet.endpoints.values():
         endpoint.sidecar.stopping.set()
-    rig.kv.server.stopping.set()
-    rig.instances.server.stopping.set()
-    for endpoint in rig.endpoints.values():
+    fleet.kv.server.stopping.set()
+    fleet.instances.server.stopping.set()
+    for endpoint in fleet.endpoints.values():
         endpoint.standin.server.stopping.set()
--- a/src/quetzaldyke/commands/waiting.py
+++ b/src/quetzaldyke/commands/waiting.py
@@ -1,7 +1,7 @@
-"""Measures waiting for a version against polling for it, over loopback.
+"""Benchmarks waiting for a configuration version against polling for it.
 
-Run by `python -m quetzaldyke.commands.waiting`. Server and clients share
-the process, so the processor time is that of both ends.
+Run with `python -m quetzaldyke.commands.waiting`. Server and clients share
+the process and talk over loopback, so the CPU time covers both ends.
 """
 
 from __future__ import annotations
@@ -34,37 +34,37 @@
 from quetzaldyke.version.rollout import RolloutMonitor
 
 KEY: Final = 'waiting-probe-key'
-WAIT_S: Final = 10.0
-SETTLE_S: Final = 0.5
-WAITERS: Final = (1, 10, 100)
+ADOPT_DELAY_S: Final = 10.0
+START_SPREAD_S: Final = 0.5
+WAITER_COUNTS: Final = (1, 10, 100)
 POLL_INTERVALS_S: Final = (1.0, 0.1)
 MS_IN_S: Final = 1000
 PERCENT: Final = 100
 
 
 @dataclass(slots=True)
-class Probe:
-    """One entry's configuration with its operators' listener."""
+class EntryProbe:
+    """State shared by the clients of one operators' listener."""
 
     holder: ConfigHolder
     address: str = ''
     calls: int = 0
-    done_s: list[float] = field(default_factory=list)
+    finished_s: list[float] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Waiter:
-    """One client with a connection of its own.
+    """A client with its own connection.
 
-    With a pool of connections for all clients, the pool's own work was most
-    of the processor time at 100 clients.
+    With one connection pool for all clients, the pool itself accounted for
+    most of the CPU time at 100 clients.
     """
 
-    probe: Probe
+    probe: EntryProbe
     pool: httpcore.AsyncConnectionPool
 
     async def get(self, path: str) -> dict[str, object]:
-        """Make one call."""
+        """Send a GET request and return its JSON object."""
         self.probe.calls += 1
         response = await self.pool.request(
             'GET',
@@ -76,7 +76,7 @@
 
 
 def make_context(holder: ConfigHolder) -> OperatorsContext:
-    """Return the context of an entry without peers."""
+    """Return the operators' listener context of an entry without peers."""
     fleet = Fleet(Instance('probe', 'entry', 'a', ''), 1)
     exchange = ConfigExchange(holder, Clock(), random.random)
     rollout = RolloutMonitor(fleet, exchange, Clock())
@@ -102,16 +102,16 @@
     )
 
 
-Way = Callable[[Waiter, int], Awaitable[None]]
+WaitMethod = Callable[[Waiter, int], Awaitable[None]]
 
 
 async def wait_once(waiter: Waiter, version: int) -> None:
-    """Block on a version."""
+    """Wait for a version with one blocking request."""
     await waiter.get(f'/config/wait?version={version}&timeout_s=60')
 
 
-def poll_every(interval_s: float) -> Way:
-    """Return a way to wait that asks again and again."""
+def poll_every(interval_s: float) -> WaitMethod:
+    """Return a wait method that polls at an interval."""
 
     async def poll(waiter: Waiter, version: int) -> None:
         while int(str((await waiter.get('/config'))['version'])) < version:
@@ -121,51 +121,51 @@
 
 
 async def measure(
-    probe: Probe,
+    probe: EntryProbe,
     name: str,
     waiters: int,
-    wait: Way,
+    wait: WaitMethod,
 ) -> None:
-    """Let some clients wait for the next version and print the figures."""
+    """Let clients wait for the next version and print CPU time and delays."""
     version = probe.holder.version + 1
     probe.calls = 0
-    probe.done_s = []
+    probe.finished_s = []
 
     async def client(number: int) -> None:
-        # Clients of an interval don't all ask at the same moment.
-        await anyio.sleep(SETTLE_S * number / waiters)
+        # Spreads the starts, so that clients don't poll at the same moment.
+        await anyio.sleep(START_SPREAD_S * number / waiters)
         async with httpcore.AsyncConnectionPool(max_connections=1) as pool:
             await wait(Waiter(probe, pool), version)
-        probe.done_s.append(time.monotonic())
+        probe.finished_s.append(time.monotonic())
 
     cpu_s = time.process_time()
     async with anyio.create_task_group() as group:
         for number in range(waiters):
             group.start_soon(client, number)
-        await anyio.sleep(WAIT_S)
+        await anyio.sleep(ADOPT_DELAY_S)
         adopted_s = time.monotonic()
         probe.holder.adopt(version, pack_document(EMPTY))
     used_s = time.process_time() - cpu_s
-    delays_ms = [(done - adopted_s) * MS_IN_S for done in probe.done_s]
+    delays_ms = [(done - adopted_s) * MS_IN_S for done in probe.finished_s]
     print(
         f'{name:<14} waiters={waiters:<4} calls={probe.calls:<6} '
         f'cpu_ms={used_s * MS_IN_S:<8.0f} '
-        f'core_percent={used_s / WAIT_S * PERCENT:<6.2f} '
+        f'core_percent={used_s / ADOPT_DELAY_S * PERCENT:<6.2f} '
         f'delay_ms median={statistics.median(delays_ms):<8.1f} '
         f'max={max(delays_ms):.1f}',
     )
 
 
 async def run_all() -> None:
-    """Measure each way with each number of waiters."""
+    """Measure each wait method with each number of clients."""
     holder = ConfigHolder()
-    probe = Probe(holder)
+    probe = EntryProbe(holder)
     async with anyio.create_task_group() as group:
         app = make_operators_app(make_context(holder))
         options = HttpOptions('127.0.0.1:0', 1)
         server = await group.start(serve_http, app, options, anyio.Event())
         probe.address = server.address
-        for waiters in WAITERS:
+        for waiters in WAITER_COUNTS:
             await measure(probe, 'wait', waiters, wait_once)
             for interval_s in POLL_INTERVALS_S:
                 name = f'poll {interval_s} s'
--- a/tests/fault_scenarios.py
+++ b/tests/fault_scenarios.py
@@ -25,7 +25,7 @@
     start_entry,
     start_fleet,
 )
-from quetzaldyke.commands.rig import FleetPlan, PoolPlan
+from quetzaldyke.commands.task_fleet import FleetPlan, PoolPlan
 from quetzaldyke.standins.engine_options import EngineOptions
 from quetzaldyke.standins.engine_text import answer_text
 
@@ -301,7 +301,7 @@
         expected = answer_text(prompt, TOKENS)
         if outcome is None or outcome.status != 200:
             continue
-        if outcome.whole and outcome.text != expected:
+        if outcome.complete and outcome.text != expected:
             problems.append(f'wrong answer to {prompt!r}')
         if not expected.startswith(outcome.text):
             problems.append(f'text of another request for {prompt!r}')
