--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,8 +1,9 @@
-"""A randomised soak of whole fleets under faults from outside.
+"""Randomised soak test: gateway fleets under load with injected faults.
 
 Run by hand: `python tests/soak.py FIRST_SEED SEEDS [ENTRIES]` with `src` on
-the module path. Every choice comes from the seed; what the scheduler of the
-machine adds is not repeatable, so a seed that failed is kept with its logs.
+the module path. The seed determines every random choice but not how the
+processes are scheduled, so a run is not exactly repeatable: keep the logs of
+a seed that failed.
 """
 
 from __future__ import annotations
@@ -26,10 +27,10 @@
 from quetzaldyke.gateway.http_client import encode_request
 from soak_history import Attempt, Ending, History, JobHistory, Run
 
-EVENTS: Final = 30
-CALM_S: Final = 3.0
-FAULTS_S: Final = 8.0
-SETTLE_LIMIT_S: Final = 25.0
+STREAM_EVENTS: Final = 30
+FAULT_FREE_S: Final = 3.0
+FAULTS_DURATION_S: Final = 8.0
+SETTLE_TIMEOUT_S: Final = 25.0
 CALLERS: Final = 6
 ROUTES: Final = ('again', 'once', 'book', 'look')
 JOB_ITEMS: Final = 4
@@ -37,40 +38,40 @@
 
 @dataclass(slots=True)
 class Soak:
-    """One run of one seed."""
+    """The fleet, the random generator and the history of one seed's run."""
 
     fleet: GatewayFleet
     generator: random.Random
-    history: History = field(default_factory=lambda: History(EVENTS))
-    calm: bool = True
-    over: bool = False
+    history: History = field(default_factory=lambda: History(STREAM_EVENTS))
+    fault_free: bool = True
+    stopped: bool = False
     log: list[str] = field(default_factory=list)
 
-    def entry(self) -> str:
-        """Draw an entry."""
+    def random_entry(self) -> str:
+        """Return the name of a random entry."""
         return self.generator.choice(sorted(self.fleet.ports))
 
-    def port(self) -> int:
-        """Draw the callers' port of an entry."""
-        return self.fleet.ports[self.entry()].front
+    def random_port(self) -> int:
+        """Return the port for callers of a random entry."""
+        return self.fleet.ports[self.random_entry()].front
 
     def new_id(self) -> str:
-        """Return an id that no other request has."""
+        """Return a random 64-bit request or job id."""
         return f'{self.generator.getrandbits(64):016x}'
 
-    def note(self, text: str) -> None:
-        """Keep a line of the soak's own log."""
+    def log_line(self, text: str) -> None:
+        """Append a line with the current time to the log of the run."""
         self.log.append(f'{time.time():.3f} {text}')
 
-    async def caller(self) -> None:
-        """Send online requests until the soak is over."""
-        while not self.over:
+    async def send_requests(self) -> None:
+        """Send online requests one after the other until the run stops."""
+        while not self.stopped:
             route = self.generator.choice(ROUTES)
-            self.history.attempts.append(await self.attempt(route))
+            self.history.attempts.append(await self.send_request(route))
             await anyio.sleep(self.generator.random() * 0.05)
 
-    async def attempt(self, route: str) -> Attempt:
-        """Send one request and take what comes back."""
+    async def send_request(self, route: str) -> Attempt:
+        """Send one request and return its response, however it ended."""
         request_id = self.new_id()
         exchange = Exchange(b'attempt-id', request_id.encode())
         request = encode_request(
@@ -86,15 +87,11 @@
         status = 0
         body = b''
         ending: Ending = 'none'
-        calm = self.calm
+        fault_free = self.fault_free
         try:
             with anyio.fail_after(6):
                 await self.fleet.client.start(
-                    HOST,
-                    self.port(),
-                    request,
-                    exchange,
-                    max_idle_s=3.0,
+                    HOST, self.random_port(), request, exchange, max_idle_s=3.0
                 )
                 head = await exchange.read_head()
                 status = head.status
@@ -103,7 +100,7 @@
                     body += chunk
                 ending = 'whole'
         except (ExchangeError, TimeoutError) as exc:
-            self.note(f'attempt {request_id} {route} {status} {exc!r}')
+            self.log_line(f'attempt {request_id} {route} {status} {exc!r}')
         finally:
             exchange.cancel()
         return Attempt(
@@ -112,23 +109,23 @@
             status,
             body,
             ending,
-            calm=calm and self.calm,
+            fault_free=fault_free and self.fault_free,
         )
 
-    async def submitter(self) -> None:
-        """Submit a job now and then, and end a few of them."""
-        while not self.over:
+    async def submit_jobs(self) -> None:
+        """Submit jobs until the run stops; cancel a fifth of those accepted."""
+        while not self.stopped:
             job_id = self.new_id()
             items = [f'{job_id}-{number}' for number in range(JOB_ITEMS)]
             job = JobHistory(job_id, items)
             self.history.jobs.append(job)
             await self.submit(job)
             if job.accepted and self.generator.random() < 0.2:
-                await self.end(job)
+                await self.cancel_job(job)
             await anyio.sleep(0.3 + self.generator.random() * 0.5)
 
     async def submit(self, job: JobHistory) -> None:
-        """Submit a job at one entry after the other until it is accepted."""
+        """Submit a job to random entries until accepted, at most six times."""
         rows = [
             {'id': item, 'path': '/jobs/x', 'body': 'aGk=', 'tokens': 5}
             for item in job.items
@@ -137,11 +134,7 @@
         for _ in range(6):
             job.submits += 1
             status, _ = await self.fleet.call(
-                self.port(),
-                'POST',
-                '/jobs/x',
-                {'items': rows},
-                headers,
+                self.random_port(), 'POST', '/jobs/x', {'items': rows}, headers
             )
             job.accepted |= status == 202
             if status in {429, 503}:
@@ -150,64 +143,66 @@
                 return
             await anyio.sleep(0.3)
 
-    async def end(self, job: JobHistory) -> None:
-        """End a job."""
+    async def cancel_job(self, job: JobHistory) -> None:
+        """Cancel a job; if no entry confirms it, later runs are allowed."""
         path = f'/quetzaldyke/lots/{job.job_id}'
         for _ in range(20):
-            status, _ = await self.fleet.call(self.port(), 'DELETE', path)
+            status, _ = await self.fleet.call(
+                self.random_port(), 'DELETE', path
+            )
             if status == 200:
-                job.ended_s = time.time()
+                job.cancelled_s = time.time()
                 return
             await anyio.sleep(0.3)
-        job.ended_s = time.time() + 3600
+        job.cancelled_s = time.time() + 3600
 
-    async def reader(self) -> None:
-        """Read jobs at any entry, from any position."""
-        while not self.over:
+    async def read_jobs(self) -> None:
+        """Read the results of random accepted jobs until the run stops."""
+        while not self.stopped:
             await anyio.sleep(0.05)
             accepted = [job for job in self.history.jobs if job.accepted]
             if accepted:
-                await self.read(self.generator.choice(accepted))
+                await self.read_results(self.generator.choice(accepted))
 
-    async def read(self, job: JobHistory) -> None:
-        """Read the results of a job."""
+    async def read_results(self, job: JobHistory) -> None:
+        """Read a job's results at a random entry, from a random position."""
         after = self.generator.randrange(JOB_ITEMS)
         if self.generator.random() < 0.5:
             after = 0
         path = f'/quetzaldyke/lots/{job.job_id}?after={after}'
-        status, body = await self.fleet.call(self.port(), 'GET', path)
+        status, body = await self.fleet.call(self.random_port(), 'GET', path)
         if status != 200:
             return
         for number, row in enumerate(orjson.loads(body)['results']):
             result = (row['id'], row['state'], row['output'])
-            job.note_result(after + number, result)
+            job.record_result(after + number, result)
 
-    async def faults(self) -> None:
-        """Harm the fleet, with faults in series and overlapping."""
+    async def inject_faults(self) -> None:
+        """Inject random faults, some of which overlap."""
         async with anyio.create_task_group() as group:
-            end_s = time.monotonic() + FAULTS_S
+            end_s = time.monotonic() + FAULTS_DURATION_S
             while time.monotonic() < end_s:
                 fault = self.generator.choice(FAULT_KINDS)
-                self.note(f'fault {fault.__name__}')
+                self.log_line(f'fault {fault.__name__}')
                 group.start_soon(fault, self)
                 await anyio.sleep(0.3 + self.generator.random() * 1.5)
 
-    async def settle(self) -> None:
-        """Wait until every accepted job is done, reading at every entry."""
-        with anyio.move_on_after(SETTLE_LIMIT_S):
+    async def wait_for_jobs(self) -> None:
+        """Read the accepted jobs until all are done or the time is up."""
+        with anyio.move_on_after(SETTLE_TIMEOUT_S):
             while any(
                 job.accepted
-                and not job.ended_s
+                and not job.cancelled_s
                 and len(job.results) < len(job.items)
                 for job in self.history.jobs
             ):
                 for job in self.history.jobs:
                     if job.accepted and len(job.results) < len(job.items):
-                        await self.read(job)
+                        await self.read_results(job)
                 await anyio.sleep(0.1)
 
-    async def take_runs(self) -> None:
-        """Take the runs that the endpoints have recorded."""
+    async def collect_runs(self) -> None:
+        """Add the runs that the endpoints recorded to the history."""
         for name, port in self.fleet.endpoints.items():
             status, body = await self.fleet.call(port, 'GET', '/runs')
             if status != 200:
@@ -221,46 +216,46 @@
 Fault = Callable[[Soak], Coroutine[Any, Any, None]]
 
 
-def draw(soak: Soak, kind: str) -> str:
-    """Draw a process that no other fault has at the moment."""
+def choose_process(soak: Soak, kind: str) -> str:
+    """Return a process of a kind that no fault disrupts, or an empty name."""
     names = sorted(
         name
-        for name, program in soak.fleet.processes.items()
-        if name.startswith(kind) and not program.disrupted
+        for name, fleet_process in soak.fleet.processes.items()
+        if name.startswith(kind) and not fleet_process.disrupted
     )
     return soak.generator.choice(names) if names else ''
 
 
-async def restart(soak: Soak, name: str, number: signal.Signals) -> None:
-    """End a process by a signal and start it again."""
+async def restart(soak: Soak, name: str, signal_number: signal.Signals) -> None:
+    """Send a signal, kill the process if still up, and start it again."""
     if not name:
         return
-    program = soak.fleet.processes[name]
-    program.disrupted = True
-    program.signal(number)
-    if program.process is not None:
+    fleet_process = soak.fleet.processes[name]
+    fleet_process.disrupted = True
+    fleet_process.signal(signal_number)
+    if fleet_process.process is not None:
         with anyio.move_on_after(8):
-            await program.process.wait()
-        await program.kill()
+            await fleet_process.process.wait()
+        await fleet_process.kill()
     await anyio.sleep(soak.generator.random())
-    await program.start()
-    program.disrupted = False
+    await fleet_process.start()
+    fleet_process.disrupted = False
 
 
 async def kill_entry(soak: Soak) -> None:
-    """Kill an entry; it starts again."""
-    await restart(soak, draw(soak, 'entry'), signal.SIGKILL)
+    """Kill an entry and start it again."""
+    await restart(soak, choose_process(soak, 'entry'), signal.SIGKILL)
 
 
 async def stop_entry(soak: Soak) -> None:
-    """Stop an entry as planned; it starts again."""
-    await restart(soak, draw(soak, 'entry'), signal.SIGTERM)
+    """Stop an entry gracefully and start it again."""
+    await restart(soak, choose_process(soak, 'entry'), signal.SIGTERM)
 
 
 async def kill_engine(soak: Soak) -> None:
-    """Kill an engine; it starts again under its old id."""
-    name = draw(soak, 'i-lm')
-    soak.history.forgotten.add(name)
+    """Kill an engine and start it again under the same id."""
+    name = choose_process(soak, 'i-lm')
+    soak.history.killed_endpoints.add(name)
     await restart(soak, name, signal.SIGKILL)
 
 
@@ -268,48 +263,50 @@
     """Pause a process for up to two seconds."""
     if not name:
         return
-    program = soak.fleet.processes[name]
-    program.disrupted = True
-    program.signal(signal.SIGSTOP)
+    fleet_process = soak.fleet.processes[name]
+    fleet_process.disrupted = True
+    fleet_process.signal(signal.SIGSTOP)
     await anyio.sleep(0.3 + soak.generator.random() * 1.7)
-    program.signal(signal.SIGCONT)
-    program.disrupted = False
+    fleet_process.signal(signal.SIGCONT)
+    fleet_process.disrupted = False
 
 
 async def pause_entry(soak: Soak) -> None:
-    """Pause an entry, which wakes up with old beliefs."""
-    await pause(soak, draw(soak, 'entry'))
+    """Pause an entry, which then resumes with outdated state."""
+    await pause(soak, choose_process(soak, 'entry'))
 
 
 async def pause_engine(soak: Soak) -> None:
-    """Pause an engine, which goes dark with requests in flight."""
-    await pause(soak, draw(soak, 'i-lm'))
+    """Pause an engine, which stops responding with requests in flight."""
+    await pause(soak, choose_process(soak, 'i-lm'))
 
 
 async def pause_store(soak: Soak) -> None:
     """Pause the store."""
-    await pause(soak, draw(soak, 'store'))
+    await pause(soak, choose_process(soak, 'store'))
 
 
-async def harm_link(soak: Soak) -> None:
-    """Harm one entry's link to the store."""
-    link = soak.fleet.store_proxies[soak.entry()]
-    link.harm = soak.generator.choice(['slow', 'one_way', 'silent', 'refuse'])
-    if link.harm == 'refuse':
+async def impair_link(soak: Soak) -> None:
+    """Impair the connections of one entry to the store for a while."""
+    link = soak.fleet.store_proxies[soak.random_entry()]
+    link.impairment = soak.generator.choice(
+        ['slow', 'one_way', 'silent', 'refuse']
+    )
+    if link.impairment == 'refuse':
         link.reset()
     await anyio.sleep(0.5 + soak.generator.random() * 3)
-    link.harm = ''
+    link.impairment = ''
     link.reset()
 
 
 async def reset_links(soak: Soak) -> None:
-    """Break every connection to the store."""
+    """Reset every connection between the entries and the store."""
     for link in soak.fleet.store_proxies.values():
         link.reset()
 
 
 async def refuse_calls(soak: Soak) -> None:
-    """Let the store refuse all calls for a while."""
+    """Make the store refuse all calls for a while."""
     port = soak.fleet.store_port
     await soak.fleet.set_faults(port, refuse=True)
     await anyio.sleep(0.5 + soak.generator.random() * 2)
@@ -317,24 +314,24 @@
 
 
 async def lose_answers(soak: Soak) -> None:
-    """Let the store lose answers of writes that it has done."""
+    """Make the store apply some writes without sending the responses."""
     count = soak.generator.randint(1, 6)
     await soak.fleet.set_faults(soak.fleet.store_port, lose_answers=count)
 
 
 async def revoke_leases(soak: Soak) -> None:
-    """Let the store end every lease at once."""
+    """Make the store revoke all leases at once."""
     await soak.fleet.set_faults(soak.fleet.store_port, lapse=True)
 
 
 async def forget_history(soak: Soak) -> None:
-    """Let the store drop its history."""
+    """Make the store discard its revision history."""
     await soak.fleet.set_faults(soak.fleet.store_port, forget=True)
 
 
 async def break_streams(soak: Soak) -> None:
-    """Let an engine break its streams off for a while."""
-    name = draw(soak, 'i-lm')
+    """Make an engine abort its streams for a second, after seven events."""
+    name = choose_process(soak, 'i-lm')
     if name:
         port = soak.fleet.endpoints[name]
         await soak.fleet.set_faults(port, break_after=7)
@@ -343,7 +340,7 @@
 
 
 async def change_configuration(soak: Soak) -> None:
-    """Write another version of the configuration."""
+    """Write a new version of the configuration with another timeout."""
     await soak.fleet.write_configuration(soak.generator.randint(3500, 4500))
 
 
@@ -354,8 +351,8 @@
     pause_entry,
     pause_engine,
     pause_store,
-    harm_link,
-    harm_link,
+    impair_link,
+    impair_link,
     reset_links,
     refuse_calls,
     lose_answers,
@@ -367,46 +364,52 @@
 
 
 async def run_seed(seed: int, folder: Path, entries: int = 3) -> list[str]:
-    """Play one seed and return the promises that it broke."""
+    """Run one seed and return the violations of the guarantees."""
     async with AsyncExitStack() as stack:
         fleet = GatewayFleet(folder, stack)
-        await fleet.start(entries, engines=3, services=2, events=EVENTS)
+        await fleet.start(entries, engines=3, services=2, events=STREAM_EVENTS)
         soak = Soak(fleet, random.Random(seed))
         async with anyio.create_task_group() as group:
             for _ in range(CALLERS):
-                group.start_soon(soak.caller)
-            group.start_soon(soak.submitter)
-            group.start_soon(soak.reader)
-            # A planned stop alone, which must cut nothing.
-            await restart(soak, draw(soak, 'entry'), signal.SIGTERM)
-            await anyio.sleep(CALM_S)
-            soak.calm = False
-            await soak.faults()
-            soak.over = True
-        await soak.settle()
-        await soak.take_runs()
-        broken = soak.history.check()
-        lines = [*soak.log, f'{len(soak.history.attempts)} attempts', *broken]
+                group.start_soon(soak.send_requests)
+            group.start_soon(soak.submit_jobs)
+            group.start_soon(soak.read_jobs)
+            # A graceful stop without other faults must not interrupt requests.
+            await restart(soak, choose_process(soak, 'entry'), signal.SIGTERM)
+            await anyio.sleep(FAULT_FREE_S)
+            soak.fault_free = False
+            await soak.inject_faults()
+            soak.stopped = True
+        await soak.wait_for_jobs()
+        await soak.collect_runs()
+        violations = soak.history.check()
+        lines = [
+            *soak.log,
+            f'{len(soak.history.attempts)} attempts',
+            *violations,
+        ]
         (folder / 'soak.log').write_text('\n'.join(lines))
-        served = sum(one.ending == 'whole' for one in soak.history.attempts)
+        served = sum(
+            attempt.ending == 'whole' for attempt in soak.history.attempts
+        )
         if not served:
-            broken.append('no request was served')
-    return broken
+            violations.append('no request was served')
+    return violations
 
 
 def main() -> None:
-    """Play the seeds that the arguments name, and keep failing ones' logs."""
+    """Run the given seeds, print each verdict and keep the logs."""
     first, count = int(sys.argv[1]), int(sys.argv[2])
     entries = int(sys.argv[3]) if len(sys.argv) > 3 else 3
     failed = []
     for seed in range(first, first + count):
         folder = Path(tempfile.mkdtemp(prefix=f'soak-{seed}-'))
-        broken = anyio.run(run_seed, seed, folder, entries)
-        verdict = 'failed' if broken else 'passed'
+        violations = anyio.run(run_seed, seed, folder, entries)
+        verdict = 'failed' if violations else 'passed'
         print(f'seed={seed} verdict={verdict} logs={folder}', flush=True)
-        for one in broken:
-            print(f'  {one}', flush=True)
-        failed.extend([seed] if broken else [])
+        for violation in violations:
+            print(f'  {violation}', flush=True)
+        failed.extend([seed] if violations else [])
     print(f'{count - len(failed)} passed, {len(failed)} failed')
     sys.exit(1 if failed else 0)
 
--- a/tests/soak_history.py
+++ b/tests/soak_history.py
@@ -1,4 +1,4 @@
-"""What a soak's callers and endpoints saw, and the promises it must meet."""
+"""The history of a soak test, and the checks of the fleet's guarantees."""
 
 from __future__ import annotations
 
@@ -8,32 +8,33 @@
 
 from quetzaldyke.standins.platform_endpoint import event_of, whole_output
 
-# From the end of a job to the last start of one of its items, and how long
-# a process may have been paused meanwhile.
-CANCEL_LIMIT_S: Final = 3.0
-PAUSE_LIMIT_S: Final = 3.0
-NOT_RUN: Final = frozenset((408, 421, 429, 503))
+# An item may still start for this long after its job was cancelled, plus the
+# time for which a fault may have paused a process meanwhile.
+CANCEL_TIMEOUT_S: Final = 3.0
+MAX_PAUSE_S: Final = 3.0
+NOT_RUN_STATUSES: Final = frozenset((408, 421, 429, 503))
 
-# `whole`: the answer ended as complete; `cut`: its channel broke.
+# `whole`: the response is complete; `cut`: its connection failed after the
+# response head; `none`: there was no response head.
 Ending = Literal['whole', 'cut', 'none']
 
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """One attempt of a caller."""
+    """A request of a caller and the response to it."""
 
     request_id: str
     route: str
     status: int
     body: bytes
     ending: Ending
-    # Whether no fault but planned work was going on.
-    calm: bool = False
+    # Whether nothing but a graceful stop happened to the fleet meanwhile.
+    fault_free: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One run at an endpoint."""
+    """One run of a request, as recorded by the endpoint."""
 
     request_id: str
     endpoint: str
@@ -43,72 +44,81 @@
 
 @dataclass(slots=True)
 class JobHistory:
-    """What was seen of one job."""
+    """The submissions, results and cancellation of one job.
+
+    `cancelled_s` is 0 if the job was not cancelled.
+    """
 
     job_id: str
     items: list[str]
     accepted: bool = False
     refusals: int = 0
     submits: int = 0
-    ended_s: float = 0.0
-    # Result by position, as first read.
+    cancelled_s: float = 0.0
+    # The first result read at each position: item id, state and output.
     results: dict[int, tuple[str, str, str]] = field(default_factory=dict)
     conflicts: list[str] = field(default_factory=list)
 
-    def note_result(self, position: int, result: tuple[str, str, str]) -> None:
-        """Keep a result, and note one that differs from an earlier read."""
-        known = self.results.setdefault(position, result)
-        if known != result:
-            self.conflicts.append(f'position {position}: {known} {result}')
+    def record_result(
+        self, position: int, result: tuple[str, str, str]
+    ) -> None:
+        """Store a result, or a conflict if an earlier read gave another."""
+        first_read = self.results.setdefault(position, result)
+        if first_read != result:
+            self.conflicts.append(f'position {position}: {first_read} {result}')
 
 
 @dataclass(slots=True)
 class History:
-    """Everything that a soak saw."""
+    """All attempts, runs and jobs of one run of the soak test."""
 
     events: int
     attempts: list[Attempt] = field(default_factory=list)
     runs: list[Run] = field(default_factory=list)
     jobs: list[JobHistory] = field(default_factory=list)
-    # Endpoints that were killed: their earlier runs are not known.
-    forgotten: set[str] = field(default_factory=set)
+    # Killed endpoints: their records of earlier runs are lost.
+    killed_endpoints: set[str] = field(default_factory=set)
 
     def check(self) -> list[str]:
-        """Return every promise that was broken."""
+        """Return a description of each violated guarantee."""
         return [
-            *self.check_answers(),
-            *self.check_once(),
+            *self.check_responses(),
+            *self.check_single_run(),
             *self.check_refusals(),
-            *self.check_calm(),
+            *self.check_planned_stop(),
             *self.check_jobs(),
         ]
 
-    def check_answers(self) -> list[str]:
-        """A whole answer is the whole answer to its own request."""
-        broken = []
-        for one in self.attempts:
-            if one.status != 200 or one.ending == 'none':
+    def check_responses(self) -> list[str]:
+        """Report responses that are wrong or not a prefix of the right one."""
+        violations = []
+        for attempt in self.attempts:
+            if attempt.status != 200 or attempt.ending == 'none':
                 continue
-            expected = self.expected(one)
-            if one.ending == 'whole' and one.body != expected:
-                broken.append(f'{one.request_id}: whole answer is wrong')
-            if not expected.startswith(one.body):
-                broken.append(f'{one.request_id}: events out of order')
-        return broken
-
-    def expected(self, one: Attempt) -> bytes:
-        """Return the whole answer to a request."""
-        if one.route in {'book', 'look'}:
-            return f'done {one.request_id}'.encode()
+            expected = self.expected(attempt)
+            if attempt.ending == 'whole' and attempt.body != expected:
+                violations.append(
+                    f'{attempt.request_id}: whole answer is wrong'
+                )
+            if not expected.startswith(attempt.body):
+                violations.append(f'{attempt.request_id}: events out of order')
+        return violations
+
+    def expected(self, attempt: Attempt) -> bytes:
+        """Return the complete response to a request."""
+        if attempt.route in {'book', 'look'}:
+            return f'done {attempt.request_id}'.encode()
         numbers = range(1, self.events + 1)
-        return b''.join(event_of(one.request_id, number) for number in numbers)
+        return b''.join(
+            event_of(attempt.request_id, number) for number in numbers
+        )
 
-    def check_once(self) -> list[str]:
-        """A request that is not idempotent runs once at most."""
+    def check_single_run(self) -> list[str]:
+        """Report non-idempotent requests that ran more than once."""
         once = {
-            one.request_id
-            for one in self.attempts
-            if one.route in {'once', 'book'}
+            attempt.request_id
+            for attempt in self.attempts
+            if attempt.route in {'once', 'book'}
         }
         counts = Counter(
             run.request_id for run in self.runs if run.request_id in once
@@ -120,44 +130,50 @@
         ]
 
     def check_refusals(self) -> list[str]:
-        """A refusal that says not run is true."""
+        """Report requests that ran although the status says they did not."""
         ran = {run.request_id for run in self.runs}
         return [
-            f'{one.request_id}: answered {one.status} and has run'
-            for one in self.attempts
-            if one.status in NOT_RUN
-            and one.route in {'once', 'book'}
-            and one.request_id in ran
+            f'{attempt.request_id}: answered {attempt.status} and has run'
+            for attempt in self.attempts
+            if attempt.status in NOT_RUN_STATUSES
+            and attempt.route in {'once', 'book'}
+            and attempt.request_id in ran
         ]
 
-    def check_calm(self) -> list[str]:
-        """A planned stop cuts no request."""
+    def check_planned_stop(self) -> list[str]:
+        """Report requests that a graceful stop interrupted."""
         return [
-            f'{one.request_id}: {one.ending} at a planned stop'
-            for one in self.attempts
-            if one.calm and one.status and one.ending == 'cut'
+            f'{attempt.request_id}: {attempt.ending} at a planned stop'
+            for attempt in self.attempts
+            if attempt.fault_free and attempt.status and attempt.ending == 'cut'
         ]
 
     def check_jobs(self) -> list[str]:
-        """Accepted items are done once, whole, and stay where they are."""
-        broken: list[str] = []
+        """Report jobs whose results are missing, wrong or inconsistent."""
+        violations: list[str] = []
         for job in self.jobs:
-            broken.extend(f'{job.job_id}: {one}' for one in job.conflicts)
+            violations.extend(
+                f'{job.job_id}: {conflict}' for conflict in job.conflicts
+            )
             ids = [result[0] for result in job.results.values()]
             if len(ids) != len(set(ids)):
-                broken.append(f'{job.job_id}: an item at two positions')
+                violations.append(f'{job.job_id}: an item at two positions')
             if set(ids) - set(job.items):
-                broken.append(f'{job.job_id}: an item of another job')
-            if job.accepted and not job.ended_s and len(ids) < len(job.items):
-                broken.append(
+                violations.append(f'{job.job_id}: an item of another job')
+            if (
+                job.accepted
+                and not job.cancelled_s
+                and len(ids) < len(job.items)
+            ):
+                violations.append(
                     f'{job.job_id}: {len(ids)} of {len(job.items)} items done',
                 )
-            broken.extend(self.check_outputs(job))
-            broken.extend(self.check_end(job))
-        return broken
+            violations.extend(self.check_outputs(job))
+            violations.extend(self.check_cancellation(job))
+        return violations
 
     def check_outputs(self, job: JobHistory) -> list[str]:
-        """The output of a completed item is whole."""
+        """Report completed items whose output is not the complete one."""
         return [
             f'{job.job_id}: output of {item} is wrong'
             for item, state, output in job.results.values()
@@ -165,14 +181,14 @@
             and output != whole_output(item, self.events)
         ]
 
-    def check_end(self, job: JobHistory) -> list[str]:
-        """A cancelled job stops, and a refused one never starts."""
+    def check_cancellation(self, job: JobHistory) -> list[str]:
+        """Report items that ran although the job was cancelled or refused."""
         runs = [run for run in self.runs if run.request_id in job.items]
         if job.submits and job.refusals == job.submits and runs:
             return [f'{job.job_id}: refused each time and has run']
-        if not job.ended_s:
+        if not job.cancelled_s:
             return []
-        last_s = job.ended_s + CANCEL_LIMIT_S + PAUSE_LIMIT_S
+        last_s = job.cancelled_s + CANCEL_TIMEOUT_S + MAX_PAUSE_S
         return [
             f'{job.job_id}: {run.request_id} ran after the end'
             for run in runs
--- a/tests/soak_proxy.py
+++ b/tests/soak_proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy whose connections can be harmed while they are open."""
+"""A loopback TCP proxy that injects network faults into its connections."""
 
 from __future__ import annotations
 
@@ -8,83 +8,95 @@
 
 HOST: Final = '127.0.0.1'
 CHUNK_BYTES: Final = 65_536
-# `one_way`: requests arrive, answers don't. `silent`: nothing passes.
-Harm = Literal['', 'slow', 'one_way', 'silent', 'refuse']
-SLOW_S: Final = 0.15
+# `one_way`: only data to the target passes. `silent`: no data passes.
+Impairment = Literal['', 'slow', 'one_way', 'silent', 'refuse']
+SLOW_DELAY_S: Final = 0.15
 
 
 @dataclass(slots=True)
 class Proxy:
-    """Passes connections on to one port."""
+    """Forwards the connections to a port to a target port.
+
+    `impairment` also applies to connections that are already open, except
+    that `refuse` only affects new ones.
+    """
 
     port: int
     target: int
-    harm: Harm = ''
+    impairment: Impairment = ''
     server: asyncio.Server | None = None
     writers: set[asyncio.StreamWriter] = field(default_factory=set)
     tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     @classmethod
     async def listen(cls, port: int, target: int) -> Proxy:
-        """Listen on a port."""
+        """Return a proxy that listens on a port; raise `OSError` on failure."""
         proxy = cls(port, target)
-        proxy.server = await asyncio.start_server(proxy.carry, HOST, port)
+        proxy.server = await asyncio.start_server(
+            proxy.forward_connection, HOST, port
+        )
         return proxy
 
-    async def carry(
+    async def forward_connection(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Carry one connection."""
-        if self.harm == 'refuse':
+        """Forward one connection; abort it if the target is unreachable."""
+        if self.impairment == 'refuse':
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            target_reader, target_writer = await asyncio.open_connection(
                 HOST,
                 self.target,
             )
         except OSError:
             writer.transport.abort()
             return
-        self.writers |= {writer, far_writer}
+        self.writers |= {writer, target_writer}
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(self.copy(reader, far_writer, back=False))
-                group.create_task(self.copy(far_reader, writer, back=True))
+                group.create_task(
+                    self.copy(reader, target_writer, from_target=False)
+                )
+                group.create_task(
+                    self.copy(target_reader, writer, from_target=True)
+                )
         finally:
-            for one in (writer, far_writer):
-                one.transport.abort()
-                self.writers.discard(one)
+            for open_writer in (writer, target_writer):
+                open_writer.transport.abort()
+                self.writers.discard(open_writer)
 
     async def copy(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         *,
-        back: bool,
+        from_target: bool,
     ) -> None:
-        """Copy one direction; the end of it ends both."""
+        """Copy one direction; at its end abort the writer, which ends both."""
         try:
             while chunk := await reader.read(CHUNK_BYTES):
-                if self.harm == 'slow':
-                    await asyncio.sleep(SLOW_S)
-                if self.harm == 'silent' or (self.harm == 'one_way' and back):
+                if self.impairment == 'slow':
+                    await asyncio.sleep(SLOW_DELAY_S)
+                if self.impairment == 'silent' or (
+                    self.impairment == 'one_way' and from_target
+                ):
                     continue
                 writer.write(chunk)
                 await writer.drain()
         except OSError:
-            """The other side has gone; both ends are closed below."""
+            """The connection is lost; the writer is aborted below."""
         writer.transport.abort()
 
     def reset(self) -> None:
-        """Break all open connections."""
+        """Abort all open connections."""
         for writer in list(self.writers):
             writer.transport.abort()
 
     def close(self) -> None:
-        """Stop listening and break all connections."""
+        """Stop listening and abort all open connections."""
         if self.server is not None:
             self.server.close()
         self.reset()
