--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings of all tests: hypothesis gives the same examples on each run.
+"""Pytest configuration: derandomised hypothesis and known failures.
 
 Tests that KNOWN-RED.txt lists are run, but their failure does not fail the
 run; the listed tests are printed at its end.
@@ -12,23 +12,26 @@
 import pytest
 from hypothesis import settings
 
-KNOWN_RED_FILE: Final = Path(__file__).parent.parent / 'KNOWN-RED.txt'
+KNOWN_FAILURES_FILE: Final = Path(__file__).parent.parent / 'KNOWN-RED.txt'
 
 settings.register_profile('ci', derandomize=True, deadline=None)
 settings.load_profile('ci')
 
 
-def known_red() -> list[str]:
-    """Return the ids of the listed tests; their details are indented."""
-    if not KNOWN_RED_FILE.exists():
+def known_failures() -> list[str]:
+    """Return the test ids that KNOWN-RED.txt lists.
+
+    The lines with the details of an entry are indented.
+    """
+    if not KNOWN_FAILURES_FILE.exists():
         return []
-    lines = KNOWN_RED_FILE.read_text(encoding='utf-8').splitlines()
+    lines = KNOWN_FAILURES_FILE.read_text(encoding='utf-8').splitlines()
     return [line.strip() for line in lines if line.startswith('tests/')]
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Allow the listed tests, and no others, to fail."""
-    listed = set(known_red())
+    """Mark the listed tests, and no others, as expected failures."""
+    listed = set(known_failures())
     for item in items:
         if item.nodeid in listed:
             item.add_marker(
@@ -40,5 +43,5 @@
     terminalreporter: pytest.TerminalReporter,
 ) -> None:
     """Print the listed tests."""
-    for name in known_red():
+    for name in known_failures():
         terminalreporter.write_line(f'known red: {name}')
--- a/tests/fault_scenarios.py
+++ b/tests/fault_scenarios.py
@@ -1,4 +1,4 @@
-"""Faults against a fleet of real processes, and the load that they meet."""
+"""Scenarios that inject faults into a fleet of processes under load."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 TOKENS = 20
 BOOKINGS = 6
 PATCHES = 4
-FAULT_S = 2.0
-BROKEN = (
+FAULT_DURATION_S = 2.0
+TRANSPORT_ERRORS = (
     httpcore.NetworkError,
     httpcore.ProtocolError,
     httpcore.TimeoutException,
@@ -54,8 +54,8 @@
 
 
 @dataclass
-class World:
-    """One fleet under load, and what its callers were told."""
+class Scenario:
+    """A fleet under load, and the responses that its callers received."""
 
     fleet: ProcessFleet
     rng: random.Random
@@ -66,7 +66,7 @@
     versions: list[int] = field(default_factory=list)
 
     def prompts(self) -> list[str]:
-        """Return the prompts of the job."""
+        """Return the prompts of the job's items."""
         return [f'plan {number} for the evening' for number in range(ITEMS)]
 
 
@@ -77,63 +77,66 @@
     body: object = None,
     headers: dict[str, str] | None = None,
 ) -> tuple[int, Any]:
-    """Make a call; status 0 when there was no answer."""
+    """Send a request; return status 0 if there is no complete response."""
     try:
         with anyio.fail_after(20):
             return await caller.request(method, path, body, headers)
-    except (*BROKEN, TimeoutError):
+    except (*TRANSPORT_ERRORS, TimeoutError):
         return 0, None
 
 
 # Load
 
 
-async def submit_until_accepted(world: World, key: str) -> None:
-    """Send the job again until it was acknowledged, by any entry."""
+async def submit_until_accepted(scenario: Scenario, key: str) -> None:
+    """Submit the job to the entries in turn until one accepts it.
+
+    Raises `AssertionError` if none has done so after 60 attempts.
+    """
     lines = [
         item_line(number, POOL, prompt, TOKENS)
-        for number, prompt in enumerate(world.prompts())
+        for number, prompt in enumerate(scenario.prompts())
     ]
     for number in range(60):
-        caller = world.fleet.caller(ORGANISATION, number)
+        caller = scenario.fleet.caller(ORGANISATION, number)
         try:
             with anyio.fail_after(10):
                 job = await submit_job(caller, lines, key)
-        except (*BROKEN, RuntimeError, TimeoutError):
+        except (*TRANSPORT_ERRORS, RuntimeError, TimeoutError):
             await anyio.sleep(0.25)
             continue
-        world.job_ids.add(job['id'])
+        scenario.job_ids.add(job['id'])
         return
     raise AssertionError('the job was never accepted')
 
 
-async def send_online(world: World) -> None:
-    """Stream online requests, one after the other on two lanes."""
+async def send_online(scenario: Scenario) -> None:
+    """Stream two concurrent sequences of online requests."""
 
-    async def lane(number: int) -> None:
+    async def send_in_sequence(number: int) -> None:
         for turn in range(12):
             prompt = f'message {number} {turn}'
-            caller = world.fleet.caller(ORGANISATION, number + turn)
+            caller = scenario.fleet.caller(ORGANISATION, number + turn)
             try:
                 with anyio.fail_after(20):
                     outcome = await caller.chat(POOL, prompt, TOKENS)
             except TimeoutError:
                 outcome = None
-            world.online.append((prompt, outcome))
+            scenario.online.append((prompt, outcome))
             await anyio.sleep(0.1)
 
     async with anyio.create_task_group() as group:
         for number in range(2):
-            group.start_soon(lane, number)
+            group.start_soon(send_in_sequence, number)
 
 
-async def send_bookings(world: World) -> None:
-    """Send each booking to both entries, again after a failure."""
+async def send_bookings(scenario: Scenario) -> None:
+    """Send each booking four times with one key, alternating the entries."""
     for number in range(BOOKINGS):
         name, key = f'booking-{number}', new_key()
-        answers = world.bookings.setdefault(name, [])
+        answers = scenario.bookings.setdefault(name, [])
         for turn in range(4):
-            caller = world.fleet.caller(ORGANISATION, turn)
+            caller = scenario.fleet.caller(ORGANISATION, turn)
             answers.append(
                 await call(
                     caller,
@@ -141,16 +144,16 @@
                     '/services/dispatch/bookings',
                     {'id': name},
                     {'idempotency-key': key},
-                ),
+                )
             )
         await anyio.sleep(0.2)
 
 
-async def send_patches(world: World) -> None:
-    """Let two operators patch on top of what they read."""
+async def send_patches(scenario: Scenario) -> None:
+    """Let two operators send patches to the version they read, each twice."""
 
     async def operator(number: int) -> None:
-        client = world.fleet.operator(number)
+        client = scenario.fleet.operator(number)
         for turn in range(PATCHES):
             _, current = await call(client, 'GET', '/config')
             base = current['version'] if isinstance(current, dict) else 0
@@ -163,13 +166,13 @@
                         'op': 'add',
                         'path': '/max_item_tries',
                         'value': 3 + number + turn,
-                    },
+                    }
                 ],
             }
-            answers = world.patches.setdefault(patch_id, [])
+            answers = scenario.patches.setdefault(patch_id, [])
             for _ in range(2):
                 answers.append(
-                    await call(client, 'POST', '/config/patches', body),
+                    await call(client, 'POST', '/config/patches', body)
                 )
             await anyio.sleep(0.3)
 
@@ -181,95 +184,98 @@
 # Faults
 
 
-async def worker_dies(world: World) -> None:
-    """Kill an endpoint with its sidecar; the list drops it later."""
+async def kill_endpoint(scenario: Scenario) -> None:
+    """Kill an endpoint and its sidecar; unlist the instance later."""
     for name in (f'{POOL}-0', f'engine-{POOL}-0'):
-        world.fleet.members[name].process.kill()
-    await anyio.sleep(FAULT_S)
-    control = world.fleet.control('instances')
+        scenario.fleet.members[name].process.kill()
+    await anyio.sleep(FAULT_DURATION_S)
+    control = scenario.fleet.control('instances')
     await control.request('DELETE', f'/instances/{POOL}-0')
 
 
-async def instance_lost(world: World) -> None:
-    """Kill an entry that acknowledged work, and start another."""
-    world.fleet.members['entry-1'].process.kill()
-    del world.fleet.callers[1]
-    del world.fleet.operators[1]
-    await start_entry(world.fleet, 2)
-    control = world.fleet.control('instances')
+async def replace_entry(scenario: Scenario) -> None:
+    """Kill an entry that may have accepted work, and start another."""
+    scenario.fleet.members['entry-1'].process.kill()
+    del scenario.fleet.callers[1]
+    del scenario.fleet.operators[1]
+    await start_entry(scenario.fleet, 2)
+    control = scenario.fleet.control('instances')
     await control.request('DELETE', '/instances/entry-1')
-    row = world.fleet.rows['entry-2']
+    row = scenario.fleet.rows['entry-2']
     await control.request('PUT', '/instances/entry-2', row)
 
 
-async def jobs_resent(world: World) -> None:
-    """Send the whole job again, with the same contents and a new key."""
-    await submit_until_accepted(world, new_key())
+async def resend_job(scenario: Scenario) -> None:
+    """Submit the job again, with the same content and a new key."""
+    await submit_until_accepted(scenario, new_key())
 
 
-async def store_down(world: World) -> None:
-    """Break every call of the key-value service for a while."""
-    control = world.fleet.control('kv')
+async def fail_store_calls(scenario: Scenario) -> None:
+    """Make all calls to the key-value service fail for a while."""
+    control = scenario.fleet.control('kv')
     await control.request('PUT', '/faults', {'drop_ratio': 1.0})
-    await anyio.sleep(FAULT_S)
+    await anyio.sleep(FAULT_DURATION_S)
     await control.request('PUT', '/faults', {'drop_ratio': 0.0})
 
 
-async def answers_lost(world: World) -> None:
-    """Apply writes whose answer is lost, a third of the time."""
-    control = world.fleet.control('kv')
+async def lose_store_responses(scenario: Scenario) -> None:
+    """Lose the responses of 30 % of the applied writes for a while."""
+    control = scenario.fleet.control('kv')
     await control.request('PUT', '/faults', {'lose_answers_ratio': 0.3})
-    await anyio.sleep(FAULT_S)
+    await anyio.sleep(FAULT_DURATION_S)
     await control.request('PUT', '/faults', {'lose_answers_ratio': 0.0})
 
 
-async def holder_paused(world: World) -> None:
-    """Pause an entry for longer than its peers wait, then let it go on."""
-    process = world.fleet.members['entry-0'].process
+async def pause_entry(scenario: Scenario) -> None:
+    """Pause an entry for longer than its peers wait, then resume it."""
+    process = scenario.fleet.members['entry-0'].process
     process.send_signal(signal.SIGSTOP)
-    await anyio.sleep(FAULT_S * 2)
+    await anyio.sleep(FAULT_DURATION_S * 2)
     process.send_signal(signal.SIGCONT)
 
 
-async def store_slow(world: World) -> None:
-    """Delay every call of the key-value service for a while."""
-    control = world.fleet.control('kv')
+async def delay_store_calls(scenario: Scenario) -> None:
+    """Delay all calls to the key-value service for a while."""
+    control = scenario.fleet.control('kv')
     await control.request('PUT', '/faults', {'delay_s': 0.4})
-    await anyio.sleep(FAULT_S)
+    await anyio.sleep(FAULT_DURATION_S)
     await control.request('PUT', '/faults', {'delay_s': 0.0})
 
 
-async def request_crashes(world: World) -> None:
-    """Send a request that crashes each endpoint that runs it."""
+async def send_crashing_request(scenario: Scenario) -> None:
+    """Send a request that crashes every endpoint that runs it."""
     for number in range(3):
-        caller = world.fleet.caller(ORGANISATION, number)
+        caller = scenario.fleet.caller(ORGANISATION, number)
         with anyio.move_on_after(10):
             await caller.chat(POOL, 'CRASH the engine', TOKENS)
 
 
-Fault = Callable[[World], Coroutine[Any, Any, None]]
+Fault = Callable[[Scenario], Coroutine[Any, Any, None]]
 
 FAULTS: dict[str, Fault] = {
-    'worker_dies': worker_dies,
-    'instance_lost': instance_lost,
-    'jobs_resent': jobs_resent,
-    'store_down': store_down,
-    'store_slow': store_slow,
-    'answers_lost': answers_lost,
-    'holder_paused': holder_paused,
-    'request_crashes': request_crashes,
+    'worker_dies': kill_endpoint,
+    'instance_lost': replace_entry,
+    'jobs_resent': resend_job,
+    'store_down': fail_store_calls,
+    'store_slow': delay_store_calls,
+    'answers_lost': lose_store_responses,
+    'holder_paused': pause_entry,
+    'request_crashes': send_crashing_request,
 }
 
 
 # Checks
 
 
-async def finished_results(world: World) -> list[dict[str, Any]]:
-    """Wait until the job has ended, and return its results."""
-    (job_id,) = world.job_ids
+async def finished_results(scenario: Scenario) -> list[dict[str, Any]]:
+    """Wait until the job has completed, and return its results.
+
+    Raises `TimeoutError` after a minute.
+    """
+    (job_id,) = scenario.job_ids
     with anyio.fail_after(60):
         for number in range(10_000):
-            caller = world.fleet.caller(ORGANISATION, number)
+            caller = scenario.fleet.caller(ORGANISATION, number)
             status, job = await call(caller, 'GET', f'/v1/batches/{job_id}')
             if status == 200 and job['status'] == 'completed':
                 return await job_results(caller, job_id)
@@ -277,15 +283,15 @@
     raise AssertionError('the job did not end')
 
 
-async def check_job(world: World) -> list[str]:
-    """Each item has exactly one recorded result, the right one."""
-    if len(world.job_ids) != 1:
-        return [f'the resent job became {len(world.job_ids)} jobs']
-    rows = await finished_results(world)
+async def check_job(scenario: Scenario) -> list[str]:
+    """Report items that do not have exactly one, correct result."""
+    if len(scenario.job_ids) != 1:
+        return [f'the resent job became {len(scenario.job_ids)} jobs']
+    rows = await finished_results(scenario)
     names = sorted(row['custom_id'] for row in rows)
     expected = sorted(f'item-{number}' for number in range(ITEMS))
     problems = [] if names == expected else [f'results of {names}']
-    prompts = world.prompts()
+    prompts = scenario.prompts()
     for row in rows:
         number = int(row['custom_id'].removeprefix('item-'))
         message = row['response']['body']['choices'][0]['message']
@@ -294,10 +300,10 @@
     return problems
 
 
-def check_online(world: World) -> list[str]:
-    """No answer is silently short, and none is another request's."""
+def check_online(scenario: Scenario) -> list[str]:
+    """Report truncated responses that seem complete, and mixed-up text."""
     problems = []
-    for prompt, outcome in world.online:
+    for prompt, outcome in scenario.online:
         expected = answer_text(prompt, TOKENS)
         if outcome is None or outcome.status != 200:
             continue
@@ -308,9 +314,12 @@
     return problems
 
 
-async def check_bookings(world: World) -> list[str]:
-    """No booking ran twice; a `not_run` that was the last word is true."""
-    control = world.fleet.control('service-dispatch-0')
+async def check_bookings(scenario: Scenario) -> list[str]:
+    """Report bookings that ran twice or contrary to their responses.
+
+    Only a `not_run` in the last response to a booking must be true.
+    """
+    control = scenario.fleet.control('service-dispatch-0')
     _, counts = await control.request('GET', '/executions')
     assert isinstance(counts, dict)
     executions = counts.get('executions', counts)
@@ -319,25 +328,25 @@
         for name, runs in executions.items()
         if runs > 1
     ]
-    for name, answers in world.bookings.items():
+    for name, answers in scenario.bookings.items():
         runs = executions.get(name, 0)
         if any(status == 201 for status, _ in answers) and runs != 1:
             problems.append(f'{name} was answered and ran {runs} times')
-        if runs and told_not_run(answers[-1][1]):
+        if runs and reports_not_run(answers[-1][1]):
             problems.append(f'{name} ran, last answer {answers[-1]}')
     return problems
 
 
-def told_not_run(content: object) -> bool:
-    """Tell whether an answer says that the request did not run."""
+def reports_not_run(content: object) -> bool:
+    """Return whether a response states that the request did not run."""
     return isinstance(content, dict) and (
         content.get('error', {}).get('ran') == 'not_run'
     )
 
 
-async def check_patches(world: World) -> list[str]:
-    """An accepted patch is in the history once and in force everywhere."""
-    operator = world.fleet.operator()
+async def check_patches(scenario: Scenario) -> list[str]:
+    """Report patches that are lost, in the history twice or not in force."""
+    operator = scenario.fleet.operator()
     with anyio.fail_after(30):
         status, history = 0, None
         while status != 200:
@@ -350,17 +359,15 @@
         for name in set(listed)
         if listed.count(name) > 1
     ]
-    for name, answers in world.patches.items():
+    for name, answers in scenario.patches.items():
         accepted = any(status == 200 for status, _ in answers)
         if accepted and name not in listed:
             problems.append(f'{name} was accepted and is not in the history')
     latest = max(row['version'] for row in history['patches'])
-    for number in range(len(world.fleet.operators)):
-        client = world.fleet.operator(number)
+    for number in range(len(scenario.fleet.operators)):
+        client = scenario.fleet.operator(number)
         status, answer = await call(
-            client,
-            'GET',
-            f'/config/wait?version={latest}&timeout_s=8',
+            client, 'GET', f'/config/wait?version={latest}&timeout_s=8'
         )
         if status != 200 or not answer['everywhere']:
             text = orjson.dumps(answer).decode()
@@ -369,21 +376,21 @@
 
 
 async def run_scenario(names: tuple[str, ...], seed: int) -> list[str]:
-    """Run the load with faults and return every broken promise."""
+    """Run the load with these faults; return the violated guarantees."""
     async with AsyncExitStack() as stack:
         fleet = await start_fleet(stack, PLAN)
-        world = World(fleet, random.Random(seed))
+        scenario = Scenario(fleet, random.Random(seed))
         async with anyio.create_task_group() as group:
-            group.start_soon(submit_until_accepted, world, new_key())
-            group.start_soon(send_online, world)
-            group.start_soon(send_bookings, world)
-            group.start_soon(send_patches, world)
+            group.start_soon(submit_until_accepted, scenario, new_key())
+            group.start_soon(send_online, scenario)
+            group.start_soon(send_bookings, scenario)
+            group.start_soon(send_patches, scenario)
             for name in names:
-                await anyio.sleep(world.rng.uniform(0.05, 0.6))
-                group.start_soon(FAULTS[name], world)
+                await anyio.sleep(scenario.rng.uniform(0.05, 0.6))
+                group.start_soon(FAULTS[name], scenario)
         return [
-            *await check_job(world),
-            *check_online(world),
-            *await check_bookings(world),
-            *await check_patches(world),
+            *await check_job(scenario),
+            *check_online(scenario),
+            *await check_bookings(scenario),
+            *await check_patches(scenario),
         ]
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""Tests of the source layout's rules."""
+"""Tests of the size and the imports of the source files."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @pytest.mark.parametrize('path', sorted(SOURCE.rglob('*.py')), ids=str)
 def test_file_size(path: Path) -> None:
-    """Guards against modules that grow past one job."""
+    """Guards against modules with more than one responsibility."""
     assert len(path.read_text().splitlines()) <= MAX_LINES
 
 
@@ -22,7 +22,10 @@
     ids=str,
 )
 def test_parts_import_only_parts(path: Path) -> None:
-    """Guards against parts that can't be embedded without the daemons."""
+    """Guards against parts that depend on the rest of the package.
+
+    Other programs must be able to embed them without the daemons.
+    """
     imported = [
         line
         for line in path.read_text().splitlines()
