--- a/src/quetzaldyke/commands/bench.py
+++ b/src/quetzaldyke/commands/bench.py
@@ -291,7 +291,10 @@
 
 
 def cpu_by_role(fleet: ProcessFleet) -> dict[str, float]:
-    """Return the mean CPU time of a process by role, and of this driver."""
+    """Return the mean CPU seconds of a process by role, and of this driver.
+
+    A process that is gone counts as 0.
+    """
     roles = {member.role for member in fleet.members.values()}
     used = {
         role: fmean([member.cpu_s() for member in fleet.with_role(role)])
--- a/src/quetzaldyke/commands/demo.py
+++ b/src/quetzaldyke/commands/demo.py
@@ -150,7 +150,11 @@
 
 
 async def run_booking(fleet: TaskFleet, totals: Totals) -> None:
-    """Send one booking through two entries; it must run once."""
+    """Send one booking through two entries with the same idempotency key.
+
+    It must run once: no execution counts as lost in the totals, and each
+    further one as a duplicate. Any status but 201 is noted there.
+    """
     organisation = next(iter(fleet.plan.organisations))
     pool = fleet.plan.pools[1].name
     booking = f'{fleet.plan.name}-booking'
--- a/src/quetzaldyke/commands/probes.py
+++ b/src/quetzaldyke/commands/probes.py
@@ -140,7 +140,7 @@
 
 
 def make_configuration(organisations: int) -> Configuration:
-    """Return a configuration with a number of organisations."""
+    """Return a configuration of numbered organisations, without pools."""
     return Configuration(
         organisations={
             f'organisation-{number}': Organisation(
--- a/src/quetzaldyke/process/admission.py
+++ b/src/quetzaldyke/process/admission.py
@@ -205,6 +205,10 @@
     def start_online(self, now_s: float) -> int:
         """Start queued requests; return how many still wait only for a slot.
 
+        A request that is confirmed to crash endpoints is refused. One that
+        may not run beside the running requests isn't counted, and suspect
+        batch streams are preempted for it.
+
         Once a request is due to run alone, no other is started. While it has
         to wait, `max_streams` is returned, so that all batch is preempted.
         """
--- a/src/quetzaldyke/process/answers_http.py
+++ b/src/quetzaldyke/process/answers_http.py
@@ -273,7 +273,7 @@
         return False
 
     async def start(self) -> None:
-        """Send the status and headers, unless they were sent already."""
+        """Send status 200 and the SSE headers, unless sent already."""
         if self.started:
             return
         self.started = True
--- a/src/quetzaldyke/process/batch_commit.py
+++ b/src/quetzaldyke/process/batch_commit.py
@@ -41,7 +41,12 @@
         return outcome
 
     async def commit_held(self, segment: OwnedSegment) -> CommitOutcome:
-        """Write the held results on top of the last known record."""
+        """Write the held results on top of the last known record.
+
+        Returns `done` or `open`, `lost` if another claim owns the segment, and
+        `retry` if a store call failed. If the record has changed, it is read
+        again, as an earlier write may have taken effect.
+        """
         base = segment.progress
         segment.commits += 1
         written = await progress.commit(
--- a/src/quetzaldyke/process/batch_coordinator.py
+++ b/src/quetzaldyke/process/batch_coordinator.py
@@ -118,7 +118,7 @@
             self.worker.fleet.send_to_entry(target, state)
 
     def reachable(self) -> list[str]:
-        """Return the connected live entries and this one, unless leaving."""
+        """Return the names of this and connected entries that aren't leaving."""
         fleet = self.worker.fleet
         connected = {
             name
--- a/src/quetzaldyke/process/batch_views.py
+++ b/src/quetzaldyke/process/batch_views.py
@@ -48,8 +48,9 @@
     def needs_reading(self, now_s: float) -> bool:
         """Return whether the record may differ from this view.
 
-        An open segment without an owner changes only by a claim, and the
-        claiming entry reports that.
+        True for an unread or closed segment, and for an owned open one whose
+        view is older than `MAX_REPORT_AGE_S`. An open segment without an owner
+        changes only by a claim, and the claiming entry reports that.
         """
         if self.state == 'open':
             return (
--- a/src/quetzaldyke/process/callers_http.py
+++ b/src/quetzaldyke/process/callers_http.py
@@ -342,7 +342,7 @@
 
 
 async def internal_error_response(http: Request, exc: Exception) -> Response:
-    """Return the response to a request whose handler raised."""
+    """Return a 500 that names only the type of the handler's exception."""
     refusal = Refusal(
         HTTP_INTERNAL_ERROR,
         'internal_fault',
--- a/src/quetzaldyke/process/event_query.py
+++ b/src/quetzaldyke/process/event_query.py
@@ -95,7 +95,10 @@
             answer_query(session, self.timeline, query)
 
     async def on_reply(self, session: PeerSession, reply: Message) -> None:
-        """Add a peer's reply to its query, unless that has ended."""
+        """Add a peer's reply to its query; the last expected one completes it.
+
+        Replies to a query that has ended and malformed events are ignored.
+        """
         if not isinstance(reply, EventsReply):
             return
         query = self.running.get(reply.query_id)
--- a/src/quetzaldyke/process/explain.py
+++ b/src/quetzaldyke/process/explain.py
@@ -50,7 +50,10 @@
 
 
 def attempt_failed(fields: Fields, process: str) -> str:
-    """Describe a failed attempt."""
+    """Describe a failed attempt; missing fields get default texts.
+
+    Names the logging process if the event has no endpoint.
+    """
     return (
         f'Try {field(fields, "attempt", "1")} on endpoint '
         f'{field(fields, "endpoint", process)} failed '
--- a/src/quetzaldyke/standins/engine_batch.py
+++ b/src/quetzaldyke/standins/engine_batch.py
@@ -200,7 +200,7 @@
         self.reset()
 
     async def run(self) -> None:
-        """Run steps while there are streams, until cancelled."""
+        """Run steps until cancelled; pause while stalled or without streams."""
         while True:
             if self.faults.stalled or not (self.running or self.waiting):
                 self.work_available = anyio.Event()
--- a/src/quetzaldyke/standins/kv.py
+++ b/src/quetzaldyke/standins/kv.py
@@ -154,9 +154,11 @@
     range_end: bytes,
     start_revision: int,
 ) -> AsyncIterator[str]:
-    """Yield the changes of a range from a revision on.
+    """Yield JSON lines: the watch's creation, then the changes of a range.
 
-    Ends with a cancellation if that revision has been compacted.
+    Starts at a revision, or with the next change if it is 0, and goes on
+    until closed. Ends with a cancellation if the next revision to send has
+    been compacted. Without `range_end`, only the key itself is watched.
     """
     state = standin.state
     next_revision = start_revision or state.revision + 1
--- a/src/quetzaldyke/standins/service.py
+++ b/src/quetzaldyke/standins/service.py
@@ -79,7 +79,11 @@
 
 
 async def create_booking(service: ServiceStandin, request: Request) -> Response:
-    """Make a booking and count its execution; return 400 without an id."""
+    """Count an execution of a booking after the work time; return 201.
+
+    Returns 400 without an id. A repeated id is executed again. With the fault
+    of lost answers, the connection may be aborted after the execution.
+    """
     body = await request.json()
     booking_id = body.get('id') if isinstance(body, dict) else None
     if not isinstance(booking_id, str):
