--- a/src/quetzaldyke/commands/bench_faults.py
+++ b/src/quetzaldyke/commands/bench_faults.py
@@ -46,7 +46,7 @@
 
 
 async def list_stale(fleet: ProcessFleet, window_s: float) -> None:
-    """Freeze the instance list, then gracefully stop a sidecar."""
+    """Freeze the instance list, then shut a sidecar down gracefully."""
     await set_fault(fleet, 'instances', frozen=True)
     await anyio.sleep(window_s * THIRD_OF_WINDOW)
     fleet.members[f'{ONLINE_POOL}-2'].process.terminate()
--- a/src/quetzaldyke/commands/caller.py
+++ b/src/quetzaldyke/commands/caller.py
@@ -49,7 +49,7 @@
 class ChatOutcome:
     """Result of one streamed chat completion, as the client saw it.
 
-    `complete` is set if the stream ended with its end mark and no error.
+    `complete` is set if the stream ended with its end marker and no error.
     """
 
     status: int = 0
--- a/src/quetzaldyke/gateway/batch_runner.py
+++ b/src/quetzaldyke/gateway/batch_runner.py
@@ -60,7 +60,7 @@
     report_age_s: Callable[[], float]
     find_route: Callable[[str], Route | None]
     jobs: dict[str, ActiveJob] = field(default_factory=dict)
-    # Set at a planned shutdown: no more items start.
+    # Set during a graceful shutdown: no more items start.
     stopping: bool = False
     # Whether the peers' use of the endpoints is known; no items start before.
     peers_known: bool = False
--- a/src/quetzaldyke/gateway/job_owner.py
+++ b/src/quetzaldyke/gateway/job_owner.py
@@ -38,7 +38,7 @@
     alive: Callable[[], Collection[str]]
     # How long after its acceptance a job can be read.
     retention_s: float
-    # Set at a planned shutdown.
+    # Set during a graceful shutdown.
     stopping: bool = False
 
     @property
@@ -74,7 +74,7 @@
         """Run the jobs that this entry owns, and take over orphaned ones.
 
         Takes over no jobs while the store doesn't answer, and does nothing
-        during a planned shutdown.
+        during a graceful shutdown.
         """
         if self.stopping:
             return
--- a/tests/sidecar_rig.py
+++ b/tests/sidecar_rig.py
@@ -248,7 +248,7 @@
         return client
 
     async def crash_sidecar(self) -> None:
-        """Cancel the sidecar without a planned stop."""
+        """Cancel the sidecar without a graceful shutdown."""
         self.scope.cancel()
         await self.done.wait()
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -248,7 +248,7 @@
 
 
 async def stop_entry(soak: Soak) -> None:
-    """Stop an entry gracefully and start it again."""
+    """Shut an entry down gracefully and start it again."""
     await restart(soak, choose_process(soak, 'entry'), signal.SIGTERM)
 
 
@@ -374,7 +374,7 @@
                 group.start_soon(soak.send_requests)
             group.start_soon(soak.submit_jobs)
             group.start_soon(soak.read_jobs)
-            # A graceful stop without other faults must not interrupt requests.
+            # Without other faults, a graceful shutdown interrupts no request.
             await restart(soak, choose_process(soak, 'entry'), signal.SIGTERM)
             await anyio.sleep(FAULT_FREE_S)
             soak.fault_free = False
--- a/tests/soak_history.py
+++ b/tests/soak_history.py
@@ -28,7 +28,7 @@
     status: int
     body: bytes
     ending: Ending
-    # Whether nothing but a graceful stop happened to the fleet meanwhile.
+    # Whether nothing but a graceful shutdown happened to the fleet meanwhile.
     fault_free: bool = False
 
 
@@ -141,9 +141,9 @@
         ]
 
     def check_planned_stop(self) -> list[str]:
-        """Report requests that a graceful stop interrupted."""
+        """Report requests that a graceful shutdown interrupted."""
         return [
-            f'{attempt.request_id}: {attempt.ending} at a planned stop'
+            f'{attempt.request_id}: {attempt.ending} during a graceful shutdown'
             for attempt in self.attempts
             if attempt.fault_free and attempt.status and attempt.ending == 'cut'
         ]
--- a/tests/test_batch_rules.py
+++ b/tests/test_batch_rules.py
@@ -188,7 +188,7 @@
 
 
 def test_planned_stop_hands_segments_over() -> None:
-    """Guards against results and items lost by a planned shutdown."""
+    """Guards against results and items lost by a graceful shutdown."""
     prompts = prompts_of(600)
 
     async def body(bed: Bed) -> None:
--- a/tests/test_gateway_jobs.py
+++ b/tests/test_gateway_jobs.py
@@ -181,7 +181,7 @@
 
 
 async def test_partial_outputs_pass_to_the_successor() -> None:
-    """Guards against repeated work after a planned shutdown."""
+    """Guards against repeated work after a graceful shutdown."""
     store = FakeStore()
     node = await accepted_node(store)
     successor = Member('b', 'i-b', '127.0.0.1', 1)
--- a/tests/test_sidecar_life.py
+++ b/tests/test_sidecar_life.py
@@ -1,4 +1,4 @@
-"""Tests of leaving, planned stops, pauses, configuration and reports."""
+"""Tests of leaving, graceful shutdown, pauses, configuration and reports."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def test_planned_stop_completes_running_requests() -> None:
-    """Guards against answers truncated by a planned stop."""
+    """Guards against answers truncated by a graceful shutdown."""
 
     async def scenario() -> None:
         async with make_rig(max_streams=6) as rig:
@@ -82,7 +82,7 @@
 
 
 def test_queued_requests_are_handed_back_on_leaving() -> None:
-    """Guards against queued requests that wait during a planned stop."""
+    """Guards against queued requests that wait during a graceful shutdown."""
 
     async def scenario() -> None:
         async with make_rig(max_streams=1) as rig:
